--- a/lib/admit/fg_admit.h
+++ b/lib/admit/fg_admit.h
@@ -45,8 +45,8 @@
 void fg_estimate_tick(struct fg_estimate *e, fg_ms now);
 
 /* Service time that `percentile` of 100 stay below; 0 without samples. */
-uint32_t fg_estimate_ms(const struct fg_estimate *e, enum fg_class cls,
-			uint32_t percentile);
+uint32_t fg_estimate_percentile_ms(const struct fg_estimate *e,
+				   enum fg_class cls, uint32_t percentile);
 bool fg_estimate_fits(const struct fg_estimate *e, enum fg_class cls,
 		      uint32_t budget_ms, uint32_t wait_ms,
 		      uint32_t *retry_after_ms);
@@ -66,7 +66,7 @@
 void fg_retry_set_percent(struct fg_retry *r, uint32_t percent);
 
 /* Counts a first attempt of the class. */
-void fg_retry_first(struct fg_retry *r, fg_ms now, enum fg_class cls);
+void fg_retry_count_first(struct fg_retry *r, fg_ms now, enum fg_class cls);
 
 /*
  * May a request of the class be tried again? `attempts` were made, `left_ms`
@@ -74,12 +74,12 @@
  * run are never repeated. Returns true with the wait in *backoff_ms, and takes
  * one from the budget.
  */
-bool fg_retry_again(struct fg_retry *r, fg_ms now, enum fg_class cls,
-		    uint32_t attempts, uint32_t left_ms, bool ran,
-		    uint32_t *backoff_ms);
+bool fg_retry_take(struct fg_retry *r, fg_ms now, enum fg_class cls,
+		   uint32_t attempts, uint32_t left_ms, bool ran,
+		   uint32_t *backoff_ms);
 
 /* Repeats of the class that the budget still allows. */
-uint32_t fg_retry_left(struct fg_retry *r, fg_ms now, enum fg_class cls);
+uint32_t fg_retry_budget_left(struct fg_retry *r, fg_ms now, enum fg_class cls);
 
 /* ---- Suspects: requests that crash endpoints ---- */
 
@@ -103,22 +103,22 @@
 	FG_SUSPECT_STARTED = 2,	 /* a suspect starts to run */
 	FG_SUSPECT_FINISHED = 3, /* it ended and the endpoint lives */
 	FG_SUSPECT_CLEARED = 4,	 /* an operator cleared it */
-	FG_SUSPECT_UNRUN = 5,	 /* it ended without having run */
+	FG_SUSPECT_NOT_RUN = 5,	 /* it ended without having run */
 };
 
 enum fg_suspect_verdict {
-	FG_SUSPECT_CLEAR = 1,
+	FG_SUSPECT_ALLOW = 1,
 	FG_SUSPECT_RUN_ALONE = 2, /* may run; report STARTED and FINISHED */
 	FG_SUSPECT_WAIT = 3,	  /* runs elsewhere just now; ask again */
 	FG_SUSPECT_REFUSE = 4,
 };
 
 struct fg_suspects_conf {
-	uint32_t keep_ms;	 /* forgotten after this long without a crash */
+	uint32_t retention_ms;	 /* forgotten after this long without a crash */
 	uint32_t refuse_crashes; /* refused from this many crashes on */
-	uint32_t sick_window_ms; /* window for telling sick endpoints */
-	uint32_t sick_fingerprints; /* deaths with no other sign of blame */
-	uint32_t max;		    /* bounds memory */
+	uint32_t faulty_ep_window_ms; /* window for telling sick endpoints */
+	uint32_t faulty_ep_deaths;    /* deaths with no other sign of blame */
+	uint32_t entries_max;	      /* bounds memory */
 };
 
 struct fg_suspects;
@@ -131,18 +131,18 @@
  * repeats harmless: its low 8 bits number the attempts of one request, the
  * rest names the request over all instances). Returns true if peers must be
  * told. */
-bool fg_suspects_event(struct fg_suspects *s, fg_ms now, uint64_t by,
-		       const fg_suspect *ev);
+bool fg_suspects_handle_event(struct fg_suspects *s, fg_ms now, uint64_t by,
+			      const fg_suspect *ev);
 enum fg_suspect_verdict fg_suspects_check(const struct fg_suspects *s,
 					  fg_ms now, uint64_t fingerprint,
 					  uint32_t *retry_after_ms);
 
 /* Does any suspect run on the endpoint? Then no other may be sent there. */
-bool fg_suspects_on_endpoint(const struct fg_suspects *s, fg_ms now,
-			     uint64_t ep);
+bool fg_suspects_is_running_on(const struct fg_suspects *s, fg_ms now,
+			       uint64_t ep);
 
 /* An instance died: what it ran is no longer running. */
-void fg_suspects_instance_dead(struct fg_suspects *s, uint64_t by);
+void fg_suspects_handle_dead_instance(struct fg_suspects *s, uint64_t by);
 
 struct fg_suspect_view {
 	uint64_t fingerprint;
@@ -150,7 +150,7 @@
 	uint32_t crashes;
 	bool refused;
 	bool running;
-	fg_ms last;
+	fg_ms last_crash_at;
 };
 
 /* Copies up to max entries, newest first; returns how many there are. */
--- a/lib/admit/fg_estimate.c
+++ b/lib/admit/fg_estimate.c
@@ -96,8 +96,8 @@
 	h->last_sample = now;
 }
 
-uint32_t fg_estimate_ms(const struct fg_estimate *e, enum fg_class cls,
-			uint32_t percentile)
+uint32_t fg_estimate_percentile_ms(const struct fg_estimate *e,
+				   enum fg_class cls, uint32_t percentile)
 {
 	const struct histogram *h = &e->hist[cls];
 	double wanted = h->total * MIN(percentile, 100) / 100;
@@ -129,7 +129,7 @@
 	*retry_after_ms = 0;
 	if (!known)
 		return true;
-	need_ms += fg_estimate_ms(e, cls, FIT_PERCENTILE);
+	need_ms += fg_estimate_percentile_ms(e, cls, FIT_PERCENTILE);
 	if (need_ms <= budget_ms)
 		return true;
 	*retry_after_ms = MAX(wait_ms, RETRY_MIN_MS);
--- a/lib/admit/fg_retry.c
+++ b/lib/admit/fg_retry.c
@@ -69,7 +69,7 @@
 	return total;
 }
 
-void fg_retry_first(struct fg_retry *r, fg_ms now, enum fg_class cls)
+void fg_retry_count_first(struct fg_retry *r, fg_ms now, enum fg_class cls)
 {
 	struct window *w = &r->window[cls];
 
@@ -87,7 +87,7 @@
 	return base_ms / 2 + fg_rand_below(&r->rand, base_ms + 1);
 }
 
-uint32_t fg_retry_left(struct fg_retry *r, fg_ms now, enum fg_class cls)
+uint32_t fg_retry_budget_left(struct fg_retry *r, fg_ms now, enum fg_class cls)
 {
 	struct window *w = &r->window[cls];
 	uint64_t allowed = r->conf.min_per_10s;
@@ -99,9 +99,9 @@
 	return used >= allowed ? 0 : (uint32_t)MIN(allowed - used, UINT32_MAX);
 }
 
-bool fg_retry_again(struct fg_retry *r, fg_ms now, enum fg_class cls,
-		    uint32_t attempts, uint32_t left_ms, bool ran,
-		    uint32_t *backoff_ms)
+bool fg_retry_take(struct fg_retry *r, fg_ms now, enum fg_class cls,
+		   uint32_t attempts, uint32_t left_ms, bool ran,
+		   uint32_t *backoff_ms)
 {
 	struct window *w = &r->window[cls];
 	uint32_t slot = advance(w, now);
@@ -111,7 +111,7 @@
 		return false;
 	if (cls == FG_CLASS_FILING && ran)
 		return false;
-	if (fg_retry_left(r, now, cls) == 0)
+	if (fg_retry_budget_left(r, now, cls) == 0)
 		return false;
 	*backoff_ms = backoff(r, attempts);
 	if (*backoff_ms >= left_ms)
--- a/lib/admit/fg_suspect.c
+++ b/lib/admit/fg_suspect.c
@@ -9,7 +9,7 @@
  * Crashes of one endpoint within DEATH_SPAN_MS are one death: all requests of
  * its batch are reported, and a batch must not make the endpoint look sick. A
  * death is unexplained if none of its fingerprints is in any other death. An
- * endpoint with sick_fingerprints unexplained deaths around a crash was sick
+ * endpoint with faulty_ep_deaths unexplained deaths around a crash was sick
  * then, and the crash is nobody's.
  */
 #include "admit/fg_admit.h"
@@ -149,7 +149,8 @@
 			struct member m = { c->at, elsewhere };
 
 			if (c->req == 0 || c->ep != around->ep ||
-			    llabs(c->at - around->at) > s->conf.sick_window_ms)
+			    llabs(c->at - around->at) >
+				    s->conf.faulty_ep_window_ms)
 				continue;
 			g_array_append_val(members, m);
 		}
@@ -186,7 +187,7 @@
 	uint32_t unexplained = count_unexplained(members);
 
 	g_array_free(members, TRUE);
-	return unexplained >= s->conf.sick_fingerprints;
+	return unexplained >= s->conf.faulty_ep_deaths;
 }
 
 /* ---- Verdicts ---- */
@@ -236,7 +237,7 @@
 			 fg_ms now)
 {
 	return now - MAX(e->last_crash, e->cleared_at) >=
-	       (fg_ms)s->conf.keep_ms;
+	       (fg_ms)s->conf.retention_ms;
 }
 
 static bool is_running(const struct attempt *a, fg_ms now)
@@ -273,12 +274,12 @@
 
 	*retry_after_ms = 0;
 	if (e == NULL || is_forgotten(s, e, now))
-		return FG_SUSPECT_CLEAR;
+		return FG_SUSPECT_ALLOW;
 	blame = blame_of(s, e);
 	if (is_refused(s, &blame))
 		return FG_SUSPECT_REFUSE;
 	if (blame.deaths == 0 || ran_well(e))
-		return FG_SUSPECT_CLEAR;
+		return FG_SUSPECT_ALLOW;
 	if (entry_running(e, now)) {
 		*retry_after_ms = ASK_AGAIN_MS;
 		return FG_SUSPECT_WAIT;
@@ -286,8 +287,8 @@
 	return FG_SUSPECT_RUN_ALONE;
 }
 
-bool fg_suspects_on_endpoint(const struct fg_suspects *s, fg_ms now,
-			     uint64_t ep)
+bool fg_suspects_is_running_on(const struct fg_suspects *s, fg_ms now,
+			       uint64_t ep)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -325,13 +326,13 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct entry *e = value;
 
-		if (now - e->last >= (fg_ms)s->conf.keep_ms)
+		if (now - e->last >= (fg_ms)s->conf.retention_ms)
 			g_hash_table_iter_remove(&iter);
 		else if (victim == NULL || forget_before(e, victim))
 			victim = e;
 	}
 	if (victim != NULL &&
-	    g_hash_table_size(s->entries) >= MAX(s->conf.max, 1))
+	    g_hash_table_size(s->entries) >= MAX(s->conf.entries_max, 1))
 		g_hash_table_remove(s->entries, &victim->fingerprint);
 }
 
@@ -423,13 +424,13 @@
 	return true;
 }
 
-bool fg_suspects_event(struct fg_suspects *s, fg_ms now, uint64_t by,
-		       const fg_suspect *ev)
+bool fg_suspects_handle_event(struct fg_suspects *s, fg_ms now, uint64_t by,
+			      const fg_suspect *ev)
 {
 	struct entry *e;
 
 	if (ev->req == 0 || ev->event < FG_SUSPECT_CRASH ||
-	    ev->event > FG_SUSPECT_UNRUN)
+	    ev->event > FG_SUSPECT_NOT_RUN)
 		return false;
 	e = entry_for(s, now, ev);
 	e->last = now;
@@ -437,12 +438,12 @@
 		return add_crash(e, now, by, ev);
 	if (ev->event == FG_SUSPECT_CLEARED)
 		return add_cleared(e, now, by, ev);
-	if (ev->event == FG_SUSPECT_UNRUN)
+	if (ev->event == FG_SUSPECT_NOT_RUN)
 		return add_unrun(e, now, by, ev);
 	return add_attempt(e, now, by, ev);
 }
 
-void fg_suspects_instance_dead(struct fg_suspects *s, uint64_t by)
+void fg_suspects_handle_dead_instance(struct fg_suspects *s, uint64_t by)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -465,8 +466,8 @@
 	const struct fg_suspect_view *x = a;
 	const struct fg_suspect_view *y = b;
 
-	if (x->last != y->last)
-		return x->last > y->last ? -1 : 1;
+	if (x->last_crash_at != y->last_crash_at)
+		return x->last_crash_at > y->last_crash_at ? -1 : 1;
 	return x->fingerprint < y->fingerprint ? -1 : 1;
 }
 
@@ -488,7 +489,7 @@
 			.crashes = blame.deaths,
 			.refused = is_refused(s, &blame),
 			.running = entry_running(e, now),
-			.last = e->last_crash,
+			.last_crash_at = e->last_crash,
 		};
 
 		if (blame.deaths > 0 && !is_forgotten(s, e, now))
--- a/lib/balance/fg_balance.c
+++ b/lib/balance/fg_balance.c
@@ -46,7 +46,7 @@
 		const struct fg_fleet_ep *ep = all->pdata[i];
 
 		if (strcmp(ep->facts.service, service) != 0 ||
-		    !fg_ep_usable(ep, now))
+		    !fg_ep_is_usable(ep, now))
 			continue;
 		sum += ep->error_rate;
 		n++;
@@ -89,7 +89,7 @@
 
 		if (fg_hash_mix(other->hash, ask->adapter) > own &&
 		    strcmp(other->facts.service, ask->service) == 0 &&
-		    fg_ep_usable(other, now))
+		    fg_ep_is_usable(other, now))
 			before++;
 	}
 	return before;
@@ -109,7 +109,7 @@
 
 static bool holds(struct fg_fleet_ep *ep, uint64_t key)
 {
-	const struct fg_ep_adapter *a = fg_ep_adapter(ep, key);
+	const struct fg_ep_adapter *a = fg_ep_adapter_find(ep, key);
 
 	return a != NULL && a->version != 0;
 }
@@ -120,7 +120,7 @@
 			   struct fg_fleet_ep *ep, double stray, uint32_t homes,
 			   fg_ms now, bool *resident, double *load_ms)
 {
-	const struct fg_ep_adapter *a = fg_ep_adapter(ep, ask->adapter);
+	const struct fg_ep_adapter *a = fg_ep_adapter_find(ep, ask->adapter);
 	double cost = 0;
 
 	*load_ms = 0;
@@ -131,12 +131,13 @@
 		cost += NO_LOAD_COST_MS;
 	if (ep->spare_age_ms < SPARE_MIN_MS)
 		*load_ms += (ep->queue + 1) * SLOT_WAIT_MS;
-	if (a != NULL && a->seen > 0) {
+	if (a != NULL && a->resident_at > 0) {
 		*load_ms += conf->reload_ms;
 		return cost + *load_ms;
 	}
 	*load_ms += conf->load_ms + ep->fetch_wait_ms;
-	if (a != NULL && a->coming > 0 && now - a->coming < COMING_FRESH_MS)
+	if (a != NULL && a->pending_at > 0 &&
+	    now - a->pending_at < COMING_FRESH_MS)
 		return cost + *load_ms;
 	/* A copy for an adapter with several homes is used often. */
 	if (homes > 1 && stray == 0)
@@ -186,7 +187,7 @@
 		c.total_ms += conf->region_ms + conf->region_penalty_ms;
 	}
 	c.total_ms += ERROR_COST_MS * 2 * excess;
-	if (fg_health_ejected(ep, now))
+	if (fg_health_is_ejected(ep, now))
 		c.total_ms += EJECTED_COST_MS;
 	if (avoided(ask, ep))
 		c.total_ms += AVOIDED_COST_MS;
@@ -225,7 +226,7 @@
 		struct cost c;
 
 		if (strcmp(ep->facts.service, ask->service) != 0 ||
-		    !fg_ep_usable(ep, now))
+		    !fg_ep_is_usable(ep, now))
 			continue;
 		c = cost_of(conf, ask, ep,
 			    ask->adapter == 0
--- a/lib/fleet/fg_fleet.c
+++ b/lib/fleet/fg_fleet.c
@@ -91,7 +91,7 @@
 static bool lapses_expected(const struct fg_fleet *f, fg_ms now)
 {
 	return f->up_since != FG_MS_NEVER &&
-	       now - f->up_since < FG_FLEET_RETURN_MS;
+	       now - f->up_since < FG_FLEET_LAPSE_GRACE_MS;
 }
 
 /* ---- Entries ---- */
@@ -149,7 +149,7 @@
 		return;
 	ep->listed = false;
 	if (lapses_expected(f, now) && !ep->facts.draining)
-		ep->lapsed_until = f->up_since + FG_FLEET_RETURN_MS;
+		ep->lapsed_until = f->up_since + FG_FLEET_LAPSE_GRACE_MS;
 }
 
 void fg_fleet_remove(struct fg_fleet *f, fg_ms now, const char *id)
@@ -211,7 +211,7 @@
 	return f->eps;
 }
 
-bool fg_ep_usable(const struct fg_fleet_ep *ep, fg_ms now)
+bool fg_ep_is_usable(const struct fg_fleet_ep *ep, fg_ms now)
 {
 	if (ep->facts.draining || ep->addr_taken)
 		return false;
@@ -225,7 +225,7 @@
 	return fg_hash_mix(fg_hash_str(model), fg_hash_str(adapter));
 }
 
-struct fg_ep_adapter *fg_ep_adapter(struct fg_fleet_ep *ep, uint64_t key)
+struct fg_ep_adapter *fg_ep_adapter_find(struct fg_fleet_ep *ep, uint64_t key)
 {
 	for (uint32_t i = 0; i < ep->n_adapters; i++) {
 		if (ep->adapters[i].key == key)
@@ -244,16 +244,16 @@
 
 		if (a->version != 0 || a->running > 0)
 			continue;
-		if (best == NULL || a->used < best->used)
+		if (best == NULL || a->used_at < best->used_at)
 			best = a;
 	}
 	return best;
 }
 
-struct fg_ep_adapter *fg_ep_adapter_get(struct fg_fleet_ep *ep, fg_ms now,
-					uint64_t key)
+struct fg_ep_adapter *fg_ep_adapter_find_or_add(struct fg_fleet_ep *ep,
+						fg_ms now, uint64_t key)
 {
-	struct fg_ep_adapter *a = fg_ep_adapter(ep, key);
+	struct fg_ep_adapter *a = fg_ep_adapter_find(ep, key);
 
 	if (a != NULL)
 		return a;
@@ -265,7 +265,7 @@
 		return NULL;
 	memset(a, 0, sizeof(*a));
 	a->key = key;
-	a->used = now;
+	a->used_at = now;
 	return a;
 }
 
@@ -276,11 +276,11 @@
 		ep->adapters[i].version = 0;
 	for (uint32_t i = 0; i < n; i++) {
 		struct fg_ep_adapter *a =
-			fg_ep_adapter_get(ep, now, held[i].key);
+			fg_ep_adapter_find_or_add(ep, now, held[i].key);
 
 		if (a == NULL)
 			continue;
 		a->version = held[i].version;
-		a->seen = now;
+		a->resident_at = now;
 	}
 }
--- a/lib/fleet/fg_fleet.h
+++ b/lib/fleet/fg_fleet.h
@@ -5,9 +5,9 @@
  * order of its versions. An endpoint is used while its entry says so; one that
  * announces that it leaves, or whose entry is removed, gets no new request
  * from that moment on. Entries can lapse while the registry is out: for
- * FG_FLEET_RETURN_MS after its return a removal is taken for such a lapse and
- * the endpoint stays usable; if it has not written itself back by then, it is
- * gone.
+ * FG_FLEET_LAPSE_GRACE_MS after its return a removal is taken for such a lapse
+ * and the endpoint stays usable; if it has not written itself back by then, it
+ * is gone.
  *
  * What this instance measures of an endpoint (requests in flight, failures,
  * speed) is in the same record; see fg_balance.h for its use.
@@ -29,7 +29,7 @@
 
 /* How long entries may take to come back after an outage of the registry; the
  * platform's pages give about two seconds. */
-#define FG_FLEET_RETURN_MS 2200
+#define FG_FLEET_LAPSE_GRACE_MS 2200
 
 /* An adapter of a model, or the model itself when `adapter` is empty. */
 struct fg_ep_resident {
@@ -55,9 +55,9 @@
 struct fg_ep_adapter {
 	uint64_t key;		 /* fg_adapter_key() */
 	uint64_t version;	 /* 0 when not resident */
-	fg_ms used;		 /* last use by any instance heard of */
-	fg_ms seen;		 /* last time it was resident; 0: never */
-	fg_ms coming;		 /* last time it was on its way; 0: never */
+	fg_ms used_at;		 /* last use by any instance heard of */
+	fg_ms resident_at;	 /* last time it was resident; 0: never */
+	fg_ms pending_at;	 /* last time it was on its way; 0: never */
 	uint32_t running;	 /* own requests in flight */
 	uint32_t pending_tokens; /* of these, to be read before a first token */
 	fg_ms notified_at;	 /* last report of them to the owner */
@@ -135,7 +135,7 @@
 const GPtrArray *fg_fleet_all(const struct fg_fleet *f);
 
 /* May a new request be sent to it? */
-bool fg_ep_usable(const struct fg_fleet_ep *ep, fg_ms now);
+bool fg_ep_is_usable(const struct fg_fleet_ep *ep, fg_ms now);
 
 /* References keep a record that was dropped alive. */
 struct fg_fleet_ep *fg_ep_ref(struct fg_fleet_ep *ep);
@@ -144,11 +144,11 @@
 uint64_t fg_adapter_key(const char *model, const char *adapter);
 
 /* The record of an adapter at the endpoint; NULL when it never was there. */
-struct fg_ep_adapter *fg_ep_adapter(struct fg_fleet_ep *ep, uint64_t key);
+struct fg_ep_adapter *fg_ep_adapter_find(struct fg_fleet_ep *ep, uint64_t key);
 
 /* The same, created when missing; evicts the one unused for longest. */
-struct fg_ep_adapter *fg_ep_adapter_get(struct fg_fleet_ep *ep, fg_ms now,
-					uint64_t key);
+struct fg_ep_adapter *fg_ep_adapter_find_or_add(struct fg_fleet_ep *ep,
+						fg_ms now, uint64_t key);
 
 /* Replaces what is resident. */
 struct fg_fleet_held {
--- a/lib/fleet/fg_health.c
+++ b/lib/fleet/fg_health.c
@@ -13,7 +13,7 @@
 /* Expected times below this are dominated by the network. */
 #define EXPECTED_FLOOR_MS 60
 
-void fg_health_answered(struct fg_fleet_ep *ep, fg_ms now, bool error)
+void fg_health_record_answer(struct fg_fleet_ep *ep, fg_ms now, bool error)
 {
 	(void)now;
 	ep->error_rate += ERROR_GAIN * ((error ? 1.0 : 0.0) - ep->error_rate);
@@ -21,14 +21,14 @@
 	ep->ejected_until = 0;
 }
 
-void fg_health_failed(struct fg_fleet_ep *ep, fg_ms now)
+void fg_health_record_failure(struct fg_fleet_ep *ep, fg_ms now)
 {
 	fg_ms eject_ms = EJECT_MIN_MS;
 
 	ep->failures_in_row++;
 	ep->error_rate += ERROR_GAIN * (1.0 - ep->error_rate);
 	if (ep->failures_in_row < FAILURES_TO_EJECT ||
-	    fg_health_ejected(ep, now))
+	    fg_health_is_ejected(ep, now))
 		return;
 	for (uint32_t i = FAILURES_TO_EJECT;
 	     i < ep->failures_in_row && eject_ms < EJECT_MAX_MS; i++)
@@ -36,8 +36,8 @@
 	ep->ejected_until = now + MIN(eject_ms, EJECT_MAX_MS);
 }
 
-void fg_health_timed(struct fg_fleet_ep *ep, uint32_t took_ms,
-		     uint32_t expected_ms)
+void fg_health_record_first_token(struct fg_fleet_ep *ep, uint32_t took_ms,
+				  uint32_t expected_ms)
 {
 	double ratio = (double)MAX(took_ms, EXPECTED_FLOOR_MS) /
 		       MAX(expected_ms, EXPECTED_FLOOR_MS);
@@ -46,7 +46,7 @@
 	ep->slowness += SLOWNESS_GAIN * (ratio - ep->slowness);
 }
 
-bool fg_health_ejected(const struct fg_fleet_ep *ep, fg_ms now)
+bool fg_health_is_ejected(const struct fg_fleet_ep *ep, fg_ms now)
 {
 	return now < ep->ejected_until;
 }
--- a/lib/fleet/fg_health.h
+++ b/lib/fleet/fg_health.h
@@ -14,16 +14,16 @@
 #include "fleet/fg_fleet.h"
 
 /* The endpoint answered; `error` tells a failure of its own. */
-void fg_health_answered(struct fg_fleet_ep *ep, fg_ms now, bool error);
+void fg_health_record_answer(struct fg_fleet_ep *ep, fg_ms now, bool error);
 
 /* It could not be reached, broke off or sent what is no answer. */
-void fg_health_failed(struct fg_fleet_ep *ep, fg_ms now);
+void fg_health_record_failure(struct fg_fleet_ep *ep, fg_ms now);
 
 /* The first token came after `took_ms` where `expected_ms` were foreseen. */
-void fg_health_timed(struct fg_fleet_ep *ep, uint32_t took_ms,
-		     uint32_t expected_ms);
+void fg_health_record_first_token(struct fg_fleet_ep *ep, uint32_t took_ms,
+				  uint32_t expected_ms);
 
 /* Is it ejected now? */
-bool fg_health_ejected(const struct fg_fleet_ep *ep, fg_ms now);
+bool fg_health_is_ejected(const struct fg_fleet_ep *ep, fg_ms now);
 
 #endif
--- a/lib/fleet/fg_uses.c
+++ b/lib/fleet/fg_uses.c
@@ -38,7 +38,7 @@
 void fg_uses_expire(struct fg_uses *u, fg_ms now)
 {
 	for (guint i = u->list->len; i > 0; i--) {
-		if (now - at(u, i - 1)->reported_at > FG_USES_KEEP_MS)
+		if (now - at(u, i - 1)->reported_at > FG_USES_TTL_MS)
 			g_array_remove_index_fast(u->list, i - 1);
 	}
 }
--- a/lib/fleet/fg_uses.h
+++ b/lib/fleet/fg_uses.h
@@ -4,7 +4,7 @@
  *
  * Each instance reports to the owner what it has in flight there, by adapter;
  * its newest report about an adapter replaces the one before. A report that is
- * not repeated within FG_USES_KEEP_MS expires, so that a lost datagram or a
+ * not repeated within FG_USES_TTL_MS expires, so that a lost datagram or a
  * dead instance does not keep an adapter in use.
  *
  * Pure.
@@ -19,7 +19,7 @@
 
 /* Instances repeat theirs every 400 ms. */
 #define FG_USES_REPEAT_MS 400
-#define FG_USES_KEEP_MS 1000
+#define FG_USES_TTL_MS 1000
 
 struct fg_use {
 	uint64_t instance;
--- a/lib/gateway/fg_gateway.c
+++ b/lib/gateway/fg_gateway.c
@@ -35,11 +35,11 @@
 /* Requests that crash endpoints: refused after three crashes of different
  * endpoints; kept as long as callers may come back with one. */
 static const struct fg_suspects_conf suspects_conf = {
-	.keep_ms = 120000,
+	.retention_ms = 120000,
 	.refuse_crashes = 3,
-	.sick_window_ms = 30000,
-	.sick_fingerprints = 3,
-	.max = 4096,
+	.faulty_ep_window_ms = 30000,
+	.faulty_ep_deaths = 3,
+	.entries_max = 4096,
 };
 
 /* Popularity follows demand within seconds; shorter, and the few requests that
--- a/lib/gateway/fg_gw_answer.c
+++ b/lib/gateway/fg_gw_answer.c
@@ -25,8 +25,8 @@
 	fg_gwreq_no_longer_pending(r);
 	fg_hist_add(r->gw->hist_first, (uint64_t)(now - r->arrived));
 	if (r->service->engine)
-		fg_health_timed(r->ep, (uint32_t)(now - r->sent_at),
-				r->expected_ms);
+		fg_health_record_first_token(
+			r->ep, (uint32_t)(now - r->sent_at), r->expected_ms);
 }
 
 static void write_head(struct fg_gwreq *r, const struct fg_h1_head *head,
@@ -75,7 +75,7 @@
 	struct fg_fleet_ep *ep = r->ep;
 
 	if (!reply->misdirected) {
-		fg_health_answered(ep, now, true);
+		fg_health_record_answer(ep, now, true);
 		give_up(r, FG_SEND_NOT_RUN, "endpoint_full");
 		return;
 	}
@@ -99,8 +99,8 @@
 		refused(r, reply, now);
 		return true;
 	}
-	fg_health_answered(r->ep, now,
-			   head->status >= HTTP_STATUS_INTERNAL_SERVER_ERROR);
+	fg_health_record_answer(
+		r->ep, now, head->status >= HTTP_STATUS_INTERNAL_SERVER_ERROR);
 	if (is_success(head->status) &&
 	    (!reply->from_service || reply->encoded)) {
 		give_up(r, FG_SEND_BROKEN, "unsigned_answer");
--- a/lib/gateway/fg_gw_hear.c
+++ b/lib/gateway/fg_gw_hear.c
@@ -65,9 +65,9 @@
 			held[n++].version = h->ver;
 			continue;
 		}
-		a = fg_ep_adapter_get(ep, now, h->adapter);
+		a = fg_ep_adapter_find_or_add(ep, now, h->adapter);
 		if (a != NULL)
-			a->coming = now;
+			a->pending_at = now;
 	}
 	fg_ep_set_resident(ep, now, held, n);
 	ep->resident_at = now;
@@ -118,7 +118,7 @@
 		.req = crash->req,
 	};
 
-	fg_suspects_event(gw->suspects, now, by, &ev);
+	fg_suspects_handle_event(gw->suspects, now, by, &ev);
 }
 
 static void take_heartbeat(struct fg_gateway *gw, const fg_mesh_packet *packet,
@@ -166,7 +166,7 @@
 		case FG_SLOT_RESIDENT:
 			rep->answer = FG_MESH_RESIDENT;
 			break;
-		case FG_SLOT_COMING:
+		case FG_SLOT_PENDING:
 			rep->answer = FG_MESH_COMING;
 			break;
 		default:
@@ -186,11 +186,11 @@
 	if (ep == NULL)
 		return;
 	if (rep->answer == FG_MESH_RESIDENT) {
-		a = fg_ep_adapter_get(ep, now, rep->adapter);
+		a = fg_ep_adapter_find_or_add(ep, now, rep->adapter);
 		if (a == NULL)
 			return;
 		a->version = MAX(a->version, 1);
-		a->seen = now;
+		a->resident_at = now;
 		fg_gwreq_resident(gw, ep);
 	} else if (rep->answer != FG_MESH_COMING) {
 		fg_gwreq_no_load(gw, ep, rep->adapter);
--- a/lib/gateway/fg_gw_mesh.c
+++ b/lib/gateway/fg_gw_mesh.c
@@ -77,8 +77,8 @@
 
 	for (uint32_t i = 0; i < ep->n_adapters && n < HELD_MAX; i++) {
 		if (ep->adapters[i].version == 0 &&
-		    (ep->adapters[i].coming == 0 ||
-		     ep->adapters[i].coming != ep->resident_at))
+		    (ep->adapters[i].pending_at == 0 ||
+		     ep->adapters[i].pending_at != ep->resident_at))
 			continue;
 		held[n].adapter = ep->adapters[i].key;
 		held[n++].ver = ep->adapters[i].version;
--- a/lib/gateway/fg_gw_orders.c
+++ b/lib/gateway/fg_gw_orders.c
@@ -22,14 +22,14 @@
 static void mark_coming(struct fg_ep_user *u, fg_ms now)
 {
 	uint64_t keys[FG_SLOTS_MAX];
-	uint32_t n = fg_slots_coming(u->slots, keys);
+	uint32_t n = fg_slots_list_pending(u->slots, keys);
 
 	for (uint32_t i = 0; i < n; i++) {
 		struct fg_ep_adapter *a =
-			fg_ep_adapter_get(u->ep, now, keys[i]);
+			fg_ep_adapter_find_or_add(u->ep, now, keys[i]);
 
 		if (a != NULL)
-			a->coming = now;
+			a->pending_at = now;
 	}
 }
 
@@ -47,8 +47,8 @@
 
 		if (u == NULL || u->slots == NULL)
 			continue;
-		n += fg_slots_fetching(u->slots);
-		*waiting += fg_slots_to_fetch(u->slots);
+		n += fg_slots_count_fetching(u->slots);
+		*waiting += fg_slots_count_fetch_queued(u->slots);
 	}
 	return n;
 }
@@ -57,7 +57,7 @@
 static bool publish(struct fg_ep_user *u, fg_ms now)
 {
 	struct fg_fleet_held held[FG_SLOTS_MAX + 1];
-	uint32_t n = fg_slots_held(u->slots, held);
+	uint32_t n = fg_slots_list_resident(u->slots, held);
 	uint32_t same = 0;
 	uint32_t before = 0;
 	uint32_t running;
@@ -65,7 +65,8 @@
 	struct fg_fleet_ep *ep = u->ep;
 
 	for (uint32_t i = 0; i < n; i++) {
-		const struct fg_ep_adapter *a = fg_ep_adapter(ep, held[i].key);
+		const struct fg_ep_adapter *a =
+			fg_ep_adapter_find(ep, held[i].key);
 
 		same += a != NULL && a->version == held[i].version ? 1 : 0;
 	}
@@ -73,8 +74,8 @@
 		before += ep->adapters[i].version != 0 ? 1 : 0;
 	mark_coming(u, now);
 	ep->resident_at = now;
-	ep->spare_age_ms = fg_slots_spare_age(u->slots, now);
-	ep->queue = fg_slots_queue(u->slots);
+	ep->spare_age_ms = fg_slots_spare_age_ms(u->slots, now);
+	ep->queue = fg_slots_queue_len(u->slots);
 	running = fetching(u->gw, &waiting);
 	ep->fetch_wait_ms =
 		fg_loadgate_wait_ms(&u->gw->loadgate, running, waiting);
@@ -145,11 +146,11 @@
 		fg_orders_drop(u);
 		return;
 	}
-	fg_slots_ordered(u->slots, now, result);
+	fg_slots_handle_result(u->slots, now, result);
 	took_ms = fg_slots_take_fetched_ms(u->slots);
 	if (took_ms > 0) {
-		fg_loadgate_ended(&u->gw->loadgate, took_ms,
-				  fetching(u->gw, &waiting));
+		fg_loadgate_record_load(&u->gw->loadgate, took_ms,
+					fetching(u->gw, &waiting));
 		fg_hist_add(u->gw->hist_load, took_ms);
 		log_fetched(u, took_ms);
 	}
@@ -177,7 +178,7 @@
 	} else {
 		log_order(u, "report_failed", status);
 	}
-	fg_slots_reported(u->slots, now, ok ? &report : NULL);
+	fg_slots_handle_report(u->slots, now, ok ? &report : NULL);
 	changed(u);
 	kick(u);
 }
@@ -219,9 +220,9 @@
 	if (u->slots == NULL || fg_channel_busy(u->channel) ||
 	    !u->gw->claims_checked)
 		return;
-	step = fg_slots_next(
-		u->slots, now,
-		fg_loadgate_open(&u->gw->loadgate, fetching(u->gw, &waiting)));
+	step = fg_slots_next(u->slots, now,
+			     fg_loadgate_is_open(&u->gw->loadgate,
+						 fetching(u->gw, &waiting)));
 	switch (step.act) {
 	case FG_SLOTS_REPORT:
 		fg_gw_count(u->gw, "reports", NULL);
@@ -236,9 +237,9 @@
 		break;
 	default:
 		uv_timer_stop(u->timer);
-		if (step.wake != FG_MS_NEVER)
+		if (step.wake_at != FG_MS_NEVER)
 			uv_timer_start(u->timer, on_wake,
-				       (uint64_t)MAX(step.wake - now, 1), 0);
+				       (uint64_t)MAX(step.wake_at - now, 1), 0);
 	}
 }
 
@@ -250,10 +251,11 @@
 	fg_uses_expire(&u->uses, now);
 	for (uint32_t i = 0; i < u->ep->n_adapters; i++) {
 		if (u->ep->adapters[i].running > 0)
-			fg_slots_used(u->slots, now, u->ep->adapters[i].key);
+			fg_slots_mark_used(u->slots, now,
+					   u->ep->adapters[i].key);
 	}
 	for (guint i = 0; i < u->uses.list->len; i++)
-		fg_slots_used(
+		fg_slots_mark_used(
 			u->slots, now,
 			g_array_index(u->uses.list, struct fg_use, i).adapter);
 	u->ep->peers_running = fg_uses_running(&u->uses);
@@ -283,7 +285,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct fg_wanted_version *w = value;
 
-		fg_slots_announced(slots, w->key, w->version);
+		fg_slots_announce_version(slots, w->key, w->version);
 	}
 }
 
@@ -294,9 +296,9 @@
 	struct fg_slots_conf conf = {
 		.slots = service->adapter_slots,
 		.load_ms = gw->balance.load_ms,
-		.coming_max = COMING_MAX,
+		.loads_max = COMING_MAX,
 		.queue_max = QUEUE_MAX,
-		.want_max_ms = WANT_MAX_MS,
+		.request_ttl_ms = WANT_MAX_MS,
 	};
 
 	if (service->n_models > 0)
@@ -361,7 +363,7 @@
 		if (u != NULL && u->slots != NULL &&
 		    (fence != u->fence || restarted(u)))
 			fg_orders_drop(u);
-		if (fence == 0 || !fg_ep_usable(ep, now)) {
+		if (fence == 0 || !fg_ep_is_usable(ep, now)) {
 			if (u != NULL)
 				fg_orders_drop(u);
 			continue;
@@ -385,15 +387,15 @@
 	enum fg_slot_state state;
 
 	if (u->slots != NULL) {
-		state = fg_slots_want(u->slots, fg_clock_now(), model, adapter,
-				      version);
+		state = fg_slots_request_load(u->slots, fg_clock_now(), model,
+					      adapter, version);
 		kick(u);
 		return state;
 	}
 	if (ep->owner == 0 || ep->owner == gw->incarnation)
 		return FG_SLOT_FULL;
 	fg_mesh_send_load_req(gw, ep->owner, ep, model, adapter, version);
-	return FG_SLOT_COMING;
+	return FG_SLOT_PENDING;
 }
 
 void fg_orders_used(struct fg_gateway *gw, struct fg_fleet_ep *ep,
@@ -402,9 +404,9 @@
 	const struct fg_ep_user *u = ep->user;
 	fg_ms now = fg_clock_now();
 
-	a->used = now;
+	a->used_at = now;
 	if (u != NULL && u->slots != NULL)
-		fg_slots_used(u->slots, now, a->key);
+		fg_slots_mark_used(u->slots, now, a->key);
 	else if (ep->owner != 0)
 		fg_mesh_send_use(gw, ep, a);
 }
@@ -418,7 +420,7 @@
 	if (u == NULL || u->slots == NULL)
 		return;
 	fg_uses_put(&u->uses, use);
-	fg_slots_used(u->slots, use->reported_at, use->adapter);
+	fg_slots_mark_used(u->slots, use->reported_at, use->adapter);
 	ep->peers_running = fg_uses_running(&u->uses);
 	ep->peers_pending_tokens = fg_uses_pending_tokens(&u->uses);
 }
@@ -430,10 +432,10 @@
 	for (guint i = 0; i < all->len; i++) {
 		struct fg_fleet_ep *ep = all->pdata[i];
 		struct fg_ep_user *u = ep->user;
-		struct fg_ep_adapter *a = fg_ep_adapter(ep, key);
+		struct fg_ep_adapter *a = fg_ep_adapter_find(ep, key);
 
 		if (u != NULL && u->slots != NULL) {
-			fg_slots_announced(u->slots, key, version);
+			fg_slots_announce_version(u->slots, key, version);
 			changed(u);
 			kick(u);
 		} else if (a != NULL && a->version < version) {
--- a/lib/gateway/fg_gw_own.c
+++ b/lib/gateway/fg_gw_own.c
@@ -116,7 +116,7 @@
 			service < 0 ? NULL
 				    : gw->routes->services->pdata[service];
 
-		if (s != NULL && s->engine && fg_ep_usable(ep, now))
+		if (s != NULL && s->engine && fg_ep_is_usable(ep, now))
 			g_ptr_array_add(out, ep);
 	}
 	return out;
--- a/lib/gateway/fg_gw_pages.c
+++ b/lib/gateway/fg_gw_pages.c
@@ -96,7 +96,7 @@
 			"running=%u+%u pending_tokens=%u+%u errors=%.2f "
 			"slowness=%.2f fence=%llu spare_age_ms=%u adapters=",
 			ep->facts.id, ep->facts.service, ep->facts.address,
-			fg_ep_usable(ep, now), ep->listed, ep->running,
+			fg_ep_is_usable(ep, now), ep->listed, ep->running,
 			ep->peers_running, ep->pending_tokens,
 			ep->peers_pending_tokens, ep->error_rate, ep->slowness,
 			(unsigned long long)(u == NULL ? 0 : u->fence),
@@ -227,10 +227,10 @@
 		char *labels = g_strdup_printf("service=\"%s\"",
 					       (const char *)service);
 
-		fg_gauge_set(fg_metrics_gauge(gw->metrics, "fg_gw_repeats_left",
-					      labels,
-					      "repeats left in the budget"),
-			     fg_retry_left(budget, now, FG_CLASS_STATUS));
+		fg_gauge_set(
+			fg_metrics_gauge(gw->metrics, "fg_gw_repeats_left",
+					 labels, "repeats left in the budget"),
+			fg_retry_budget_left(budget, now, FG_CLASS_STATUS));
 		g_free(labels);
 	}
 }
--- a/lib/gateway/fg_gw_place.c
+++ b/lib/gateway/fg_gw_place.c
@@ -41,7 +41,7 @@
 
 static void send_now(struct fg_gwreq *r)
 {
-	if (!fg_ep_usable(r->ep, fg_clock_now())) {
+	if (!fg_ep_is_usable(r->ep, fg_clock_now())) {
 		fg_gwreq_note_tried(r);
 		fg_gwreq_wait(r, FG_GWREQ_WAIT_RETRY, fg_clock_now());
 		return;
@@ -127,7 +127,7 @@
 		case FG_SLOT_RESIDENT:
 			send_now(r);
 			return;
-		case FG_SLOT_COMING:
+		case FG_SLOT_PENDING:
 			r->load_since = now;
 			fg_gwreq_wait(r, FG_GWREQ_WAIT_LOAD,
 				      now + ASK_AGAIN_MS);
@@ -198,13 +198,13 @@
 static void step_load(struct fg_gwreq *r)
 {
 	fg_ms now = fg_clock_now();
-	const struct fg_ep_adapter *a = fg_ep_adapter(r->ep, r->adapter);
+	const struct fg_ep_adapter *a = fg_ep_adapter_find(r->ep, r->adapter);
 
 	if (now - r->load_since > LOAD_WAIT_MS) {
 		fg_gwreq_refuse(r, "load_too_slow", RETRY_LOAD_MS);
 		return;
 	}
-	if (!fg_ep_usable(r->ep, now)) {
+	if (!fg_ep_is_usable(r->ep, now)) {
 		fg_gwreq_note_tried(r);
 		fg_gwreq_place(r);
 		return;
@@ -217,7 +217,7 @@
 	case FG_SLOT_RESIDENT:
 		send_now(r);
 		break;
-	case FG_SLOT_COMING:
+	case FG_SLOT_PENDING:
 		fg_gwreq_wait(r, FG_GWREQ_WAIT_LOAD, now + ASK_AGAIN_MS);
 		break;
 	default:
@@ -259,7 +259,7 @@
 		r = gw->reqs->pdata[i - 1];
 		if (r->state != FG_GWREQ_WAIT_LOAD || r->ep != ep)
 			continue;
-		a = fg_ep_adapter(ep, r->adapter);
+		a = fg_ep_adapter_find(ep, r->adapter);
 		if (a != NULL && a->version != 0)
 			send_now(r);
 	}
--- a/lib/gateway/fg_gw_request.c
+++ b/lib/gateway/fg_gw_request.c
@@ -128,7 +128,8 @@
 	r->ep = fg_ep_ref(ep);
 	ep->running++;
 	if (r->adapter != 0)
-		r->use = fg_ep_adapter_get(ep, fg_clock_now(), r->adapter);
+		r->use = fg_ep_adapter_find_or_add(ep, fg_clock_now(),
+						   r->adapter);
 	r->pending_tokens = r->service->engine ? r->call.prompt_tokens : 0;
 	count_pending(r, 1);
 	if (r->use == NULL)
@@ -288,9 +289,9 @@
 static bool take_budget(struct fg_gwreq *r, fg_ms now)
 {
 	uint32_t backoff_ms;
-	bool ok = fg_retry_again(fg_gw_budget(r->gw, r->service->name), now,
-				 FG_CLASS_STATUS, 1, UINT32_MAX, false,
-				 &backoff_ms);
+	bool ok = fg_retry_take(fg_gw_budget(r->gw, r->service->name), now,
+				FG_CLASS_STATUS, 1, UINT32_MAX, false,
+				&backoff_ms);
 
 	fg_gw_count(r->gw, "repeats",
 		    ok ? "outcome=\"taken\"" : "outcome=\"no_budget\"");
@@ -455,7 +456,7 @@
 	}
 	if (r->adapter != 0)
 		fg_gw_heat(gw, r->arrived, r->adapter, r->call.prompt_tokens);
-	fg_retry_first(fg_gw_budget(gw, r->service->name), r->arrived,
-		       FG_CLASS_STATUS);
+	fg_retry_count_first(fg_gw_budget(gw, r->service->name), r->arrived,
+			     FG_CLASS_STATUS);
 	fg_gwreq_place(r);
 }
--- a/lib/gateway/fg_gw_rows.c
+++ b/lib/gateway/fg_gw_rows.c
@@ -121,7 +121,7 @@
 	struct fg_ep_facts facts;
 	GError *why = NULL;
 	struct fg_fleet_ep *ep = fg_fleet_find(gw->fleet, row->key);
-	bool was_usable = ep != NULL && fg_ep_usable(ep, now);
+	bool was_usable = ep != NULL && fg_ep_is_usable(ep, now);
 	bool matters = true;
 
 	if (row->removed || row->value == NULL) {
@@ -136,7 +136,7 @@
 		ep = fg_fleet_put(gw->fleet, now, &facts);
 		take_listed(ep, now);
 	}
-	if (ep == NULL || was_usable == fg_ep_usable(ep, now))
+	if (ep == NULL || was_usable == fg_ep_is_usable(ep, now))
 		return matters;
 	fg_log(FG_LOG_INFO, "endpoint", was_usable ? "leaving" : "usable",
 	       "endpoint", row->key, "address", ep->facts.address, "service",
--- a/lib/gateway/fg_gw_send.c
+++ b/lib/gateway/fg_gw_send.c
@@ -188,7 +188,7 @@
 	u->req = NULL;
 	r->up = NULL;
 	fg_answer_end(r, &u->h1.head);
-	if (reusable && fg_ep_usable(u->ep, fg_clock_now()))
+	if (reusable && fg_ep_is_usable(u->ep, fg_clock_now()))
 		keep(u, fg_clock_now());
 	else
 		up_close(u);
@@ -202,7 +202,7 @@
 		if (u->req == NULL || u->link == NULL)
 			return;
 		if (u->h1.fault != FG_H1_OK) {
-			fg_health_failed(u->ep, fg_clock_now());
+			fg_health_record_failure(u->ep, fg_clock_now());
 			lose(u, FG_SEND_BROKEN, "malformed_answer");
 			return;
 		}
@@ -242,7 +242,7 @@
 		return;
 	}
 	if (!u->reused)
-		fg_health_failed(u->ep, fg_clock_now());
+		fg_health_record_failure(u->ep, fg_clock_now());
 	if (end == FG_LINK_REFUSED)
 		fg_ep_user_died(fg_ep_user_of(u->gw, u->ep));
 	lose(u, connected ? FG_SEND_BROKEN : FG_SEND_NOT_SENT,
@@ -381,7 +381,7 @@
 	const struct fg_ep_user *user = fg_ep_user_of(r->gw, r->ep);
 
 	if (!r->up->connected) {
-		fg_health_failed(r->ep, now);
+		fg_health_record_failure(r->ep, now);
 		fg_send_cancel(r);
 		fg_gwreq_send_ended(r, FG_SEND_NOT_SENT, "connect_timeout");
 		return;
@@ -390,7 +390,7 @@
 		watch_silence(r, now);
 		return;
 	}
-	fg_health_failed(r->ep, now);
+	fg_health_record_failure(r->ep, now);
 	fg_send_cancel(r);
 	fg_gwreq_send_ended(r, FG_SEND_BROKEN, "endpoint_silent");
 }
--- a/lib/ledger/fg_ledger.c
+++ b/lib/ledger/fg_ledger.c
@@ -14,7 +14,7 @@
 	struct fg_ledger *l = g_new0(struct fg_ledger, 1);
 
 	l->conf = *conf;
-	l->conf.keep_s = MAX(conf->keep_s, KEEP_MIN_S);
+	l->conf.retention_s = MAX(conf->retention_s, KEEP_MIN_S);
 	l->conf.record_retry_ms = MAX(conf->record_retry_ms, 1);
 	fg_rand_seed(&l->rand, fg_hash_mix(seed, conf->self));
 	g_queue_init(&l->filings);
@@ -42,14 +42,14 @@
 	g_free(l);
 }
 
-void fg_ledger_set_dead(struct fg_ledger *l,
-			bool (*is_dead)(void *arg, uint64_t inst), void *arg)
+void fg_ledger_set_is_dead(struct fg_ledger *l,
+			   bool (*is_dead)(void *arg, uint64_t inst), void *arg)
 {
 	l->is_dead = is_dead;
 	l->dead_arg = arg;
 }
 
-void fg_ledger_set_wall(struct fg_ledger *l, int64_t wall_minus_now_ms)
+void fg_ledger_set_wall_offset(struct fg_ledger *l, int64_t wall_minus_now_ms)
 {
 	l->wall_offset_ms = wall_minus_now_ms;
 	l->wall_known = true;
@@ -203,9 +203,9 @@
 	ledger_schedule(l);
 }
 
-void fg_ledger_outcome(struct fg_ledger *l, fg_ms now, uint64_t id,
-		       enum fg_outcome outcome, enum fg_reason reason,
-		       const char *text, fg_ledger_emit emit, void *arg)
+void fg_ledger_record_outcome(struct fg_ledger *l, fg_ms now, uint64_t id,
+			      enum fg_outcome outcome, enum fg_reason reason,
+			      const char *text, fg_ledger_emit emit, void *arg)
 {
 	struct filing *f = g_hash_table_lookup(l->by_id, &id);
 
@@ -217,7 +217,7 @@
 	f->outcome = outcome;
 	f->reason = reason;
 	if (outcome == FG_NOT_RUN) {
-		f->answer_by = MIN(f->deadline, now + l->conf.start_ms);
+		f->answer_by = MIN(f->deadline, now + l->conf.start_timeout_ms);
 		filing_undo(l, f, now);
 	} else {
 		f->text = g_strdup(text);
@@ -267,7 +267,7 @@
 	return l->filings.length;
 }
 
-fg_ms fg_ledger_next(const struct fg_ledger *l)
+fg_ms fg_ledger_next_tick(const struct fg_ledger *l)
 {
 	return l->next;
 }
--- a/lib/ledger/fg_ledger.h
+++ b/lib/ledger/fg_ledger.h
@@ -45,10 +45,10 @@
 
 struct fg_ledger_conf {
 	uint64_t self;
-	uint32_t group_ms;	  /* longest wait for others to share a write */
-	uint32_t start_ms;	  /* a start not settled by then: refused */
-	uint32_t record_retry_ms; /* between tries to record an outcome */
-	uint32_t keep_s; /* a row is kept this long after its outcome */
+	uint32_t group_ms; /* longest wait for others to share a write */
+	uint32_t start_timeout_ms; /* a start not settled by then: refused */
+	uint32_t record_retry_ms;  /* between tries to record an outcome */
+	uint32_t retention_s; /* a row is kept this long after its outcome */
 };
 
 enum fg_ledger_act_type {
@@ -78,12 +78,13 @@
 
 /* Which instances are dead, asked when a started row of another instance is
  * found: then the caller is told UNKNOWN rather than IN_PROGRESS. */
-void fg_ledger_set_dead(struct fg_ledger *l,
-			bool (*is_dead)(void *arg, uint64_t inst), void *arg);
+void fg_ledger_set_is_dead(struct fg_ledger *l,
+			   bool (*is_dead)(void *arg, uint64_t inst),
+			   void *arg);
 
 /* Wall-clock time minus `now`, for the stamps of rows. Without it nothing is
  * ever swept. Set it again when the wall clock was stepped. */
-void fg_ledger_set_wall(struct fg_ledger *l, int64_t wall_minus_now_ms);
+void fg_ledger_set_wall_offset(struct fg_ledger *l, int64_t wall_minus_now_ms);
 
 /*
  * A filing arrived, id unique in this process. Ends in DISPATCH or ANSWER.
@@ -102,28 +103,29 @@
  * How the dispatch of `id` ended; text (answer) may be NULL. The caller is
  * answered at once, and the row is written until it succeeds. An outcome of
  * FG_NOT_RUN is answered when the row says so, since until then the key cannot
- * be started again; with the platform out, at the deadline or after start_ms,
- * whichever comes first. Ids that are not dispatched are ignored.
+ * be started again; with the platform out, at the deadline or after
+ * start_timeout_ms, whichever comes first. Ids that are not dispatched are
+ * ignored.
  */
-void fg_ledger_outcome(struct fg_ledger *l, fg_ms now, uint64_t id,
-		       enum fg_outcome outcome, enum fg_reason reason,
-		       const char *text, fg_ledger_emit emit, void *arg);
+void fg_ledger_record_outcome(struct fg_ledger *l, fg_ms now, uint64_t id,
+			      enum fg_outcome outcome, enum fg_reason reason,
+			      const char *text, fg_ledger_emit emit, void *arg);
 
 /* Call at least each 10 ms while filings are in progress. */
 void fg_ledger_tick(struct fg_ledger *l, fg_ms now, fg_ledger_emit emit,
 		    void *arg);
-bool fg_ledger_on_table(struct fg_ledger *l, fg_ms now,
-			const struct fg_table_result *res, fg_ledger_emit emit,
-			void *arg);
+bool fg_ledger_handle_result(struct fg_ledger *l, fg_ms now,
+			     const struct fg_table_result *res,
+			     fg_ledger_emit emit, void *arg);
 
 /* Filings that are not settled; a planned stop waits for 0. */
 size_t fg_ledger_pending(const struct fg_ledger *l);
 
 /* Earliest time at which a tick has work, FG_MS_NEVER when none. */
-fg_ms fg_ledger_next(const struct fg_ledger *l);
+fg_ms fg_ledger_next_tick(const struct fg_ledger *l);
 
 /*
- * Reads one part of the rows and deletes up to FG_TXN_MAX that are keep_s
+ * Reads one part of the rows and deletes up to FG_TXN_MAX that are retention_s
  * older than the newest of them. One part each few seconds and region is
  * enough; a key is protected against repetition until its row is deleted.
  */
--- a/lib/ledger/fg_ledger_decide.c
+++ b/lib/ledger/fg_ledger_decide.c
@@ -60,7 +60,7 @@
 bool filing_late(const struct fg_ledger *l, const struct filing *f)
 {
 	return l->now >= f->deadline ||
-	       l->now - f->begun >= (fg_ms)l->conf.start_ms;
+	       l->now - f->begun >= (fg_ms)l->conf.start_timeout_ms;
 }
 
 static void answer_start(struct fg_ledger *l, struct filing *f,
--- a/lib/ledger/fg_ledger_internal.h
+++ b/lib/ledger/fg_ledger_internal.h
@@ -184,7 +184,7 @@
 /* Recomputes l->next. */
 void ledger_schedule(struct fg_ledger *l);
 
-/* The sweep's share of fg_ledger_on_table(). */
+/* The sweep's share of fg_ledger_handle_result(). */
 void ledger_sweep_result(struct fg_ledger *l,
 			 const struct fg_table_result *res);
 
--- a/lib/ledger/fg_ledger_io.c
+++ b/lib/ledger/fg_ledger_io.c
@@ -136,7 +136,8 @@
 			continue;
 		if (f->phase == FILING_START) {
 			l->next = MIN(l->next, f->deadline);
-			l->next = MIN(l->next, f->begun + l->conf.start_ms);
+			l->next = MIN(l->next,
+				      f->begun + l->conf.start_timeout_ms);
 		}
 		if (f->phase == FILING_UNDO)
 			l->next = MIN(l->next, f->answer_by);
@@ -259,9 +260,9 @@
 		txn_result(l, b, res);
 }
 
-bool fg_ledger_on_table(struct fg_ledger *l, fg_ms now,
-			const struct fg_table_result *res, fg_ledger_emit emit,
-			void *arg)
+bool fg_ledger_handle_result(struct fg_ledger *l, fg_ms now,
+			     const struct fg_table_result *res,
+			     fg_ledger_emit emit, void *arg)
 {
 	struct batch *b = g_hash_table_lookup(l->ops, &res->id);
 	bool swept = l->sweep_op != 0 && res->id == l->sweep_op;
--- a/lib/ledger/fg_ledger_sweep.c
+++ b/lib/ledger/fg_ledger_sweep.c
@@ -2,9 +2,9 @@
  * Deletion of rows past their retention.
  *
  * The rows are read one part of the key space at a time, by the leading
- * digits of the hash. A row goes when its stamp is keep_s older than both our
- * wall clock and the newest stamp in its part: a clock that runs ahead on one
- * instance alone therefore deletes nothing early. Deletion requires the row
+ * digits of the hash. A row goes when its stamp is retention_s older than both
+ * our wall clock and the newest stamp in its part: a clock that runs ahead on
+ * one instance alone therefore deletes nothing early. Deletion requires the row
  * version that was read, so a row written meanwhile stays.
  */
 #include "ledger/fg_ledger_internal.h"
@@ -57,7 +57,7 @@
 static struct fg_table_op *deletions(const struct fg_ledger *l,
 				     const struct fg_table_result *res)
 {
-	fg_ms keep_ms = (fg_ms)l->conf.keep_s * FG_MS_PER_S;
+	fg_ms keep_ms = (fg_ms)l->conf.retention_s * FG_MS_PER_S;
 	fg_ms oldest = MIN(ledger_wall(l), newest_stamp(res)) - keep_ms;
 	struct fg_table_op *op = fg_table_op_new(0, FG_OP_TXN, NULL);
 
--- a/lib/node/fg_node.c
+++ b/lib/node/fg_node.c
@@ -42,9 +42,9 @@
 	struct fg_ledger_conf ledger = {
 		.self = n->self,
 		.group_ms = n->conf.group_ms,
-		.start_ms = 5000,
+		.start_timeout_ms = 5000,
 		.record_retry_ms = 500,
-		.keep_s = 7 * 24 * 3600,
+		.retention_s = 7 * 24 * 3600,
 	};
 	struct fg_retry_conf retry = {
 		.percent = 10,
@@ -53,11 +53,11 @@
 		.backoff_ms = 50,
 	};
 	struct fg_suspects_conf suspects = {
-		.keep_ms = 600000,
+		.retention_ms = 600000,
 		.refuse_crashes = 2,
-		.sick_window_ms = 60000,
-		.sick_fingerprints = 4,
-		.max = 4096,
+		.faulty_ep_window_ms = 60000,
+		.faulty_ep_deaths = 4,
+		.entries_max = 4096,
 	};
 
 	n->config = fg_config_new();
@@ -98,7 +98,7 @@
 	n->self = conf->member.self.id;
 	fg_rand_seed(&n->rand, seed);
 	make_parts(n, seed);
-	fg_ledger_set_dead(n->ledger, inst_is_dead, n);
+	fg_ledger_set_is_dead(n->ledger, inst_is_dead, n);
 	fg_confsync_set_names(n->confsync, inst_name, n);
 	n->eps = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 				       fg_ep_free);
@@ -435,7 +435,7 @@
 
 void fg_node_set_wall(struct fg_node *n, int64_t wall_minus_now_ms)
 {
-	fg_ledger_set_wall(n->ledger, wall_minus_now_ms);
+	fg_ledger_set_wall_offset(n->ledger, wall_minus_now_ms);
 }
 
 uint32_t fg_node_address_ttl_ms(const struct fg_node *n)
--- a/lib/node/fg_node_msg.c
+++ b/lib/node/fg_node_msg.c
@@ -106,9 +106,9 @@
 			fg_route(n, r);
 		else
 			/* Answered meanwhile; the row must not stay open. */
-			fg_ledger_outcome(n->ledger, n->now, id, FG_NOT_RUN,
-					  FG_R_CANCELLED, NULL, fg_wire_ledger,
-					  n);
+			fg_ledger_record_outcome(n->ledger, n->now, id,
+						 FG_NOT_RUN, FG_R_CANCELLED,
+						 NULL, fg_wire_ledger, n);
 	}
 }
 
--- a/lib/node/fg_node_req.c
+++ b/lib/node/fg_node_req.c
@@ -113,8 +113,8 @@
 	/* The ledger answers, so that the row never says less than the
 	 * caller was told. */
 	r->state = FG_REQ_FINISHING;
-	fg_ledger_outcome(n->ledger, n->now, r->id, truthful(r, outcome),
-			  reason, NULL, fg_wire_ledger, n);
+	fg_ledger_record_outcome(n->ledger, n->now, r->id, truthful(r, outcome),
+				 reason, NULL, fg_wire_ledger, n);
 }
 
 /* ---- Arrival ---- */
@@ -238,7 +238,7 @@
 			       : 0);
 		return;
 	}
-	fg_retry_first(n->retry, now, in->cls);
+	fg_retry_count_first(n->retry, now, in->cls);
 	r = new_req(n, in);
 	if (is_model(in->cls)) {
 		set_adapter(n, r, av);
--- a/lib/node/fg_node_result.c
+++ b/lib/node/fg_node_result.c
@@ -49,8 +49,8 @@
 	if (!n->conf.switches.blind_retry && r->stream && res->pieces > 0)
 		return false;
 	if (!n->conf.switches.blind_retry &&
-	    !fg_retry_again(n->retry, n->now, r->cls, r->attempts,
-			    fg_req_left_ms(n, r), ran, &backoff_ms))
+	    !fg_retry_take(n->retry, n->now, r->cls, r->attempts,
+			   fg_req_left_ms(n, r), ran, &backoff_ms))
 		return false;
 	fg_route_avoid(r, r->ep);
 	fg_node_count(n, FG_NC_RETRIES, 1);
@@ -73,8 +73,8 @@
 		return;
 	}
 	r->state = FG_REQ_FINISHING;
-	fg_ledger_outcome(n->ledger, n->now, r->id, FG_DONE, FG_R_NONE,
-			  res->text, fg_wire_ledger, n);
+	fg_ledger_record_outcome(n->ledger, n->now, r->id, FG_DONE, FG_R_NONE,
+				 res->text, fg_wire_ledger, n);
 }
 
 static enum fg_outcome final_outcome(const struct fg_node *n,
--- a/lib/node/fg_node_route.c
+++ b/lib/node/fg_node_route.c
@@ -171,8 +171,8 @@
 	if (r->cls != FG_CLASS_DRAFT)
 		return 0;
 	return fg_hold_ms(fg_config_preset(n->config), fg_req_left_ms(n, r),
-			  fg_estimate_ms(n->estimate, r->cls, 95), 0, 1,
-			  BATCH_UNKNOWN, false);
+			  fg_estimate_percentile_ms(n->estimate, r->cls, 95), 0,
+			  1, BATCH_UNKNOWN, false);
 }
 
 static void send_ask(struct fg_node *n, struct fg_req *r)
--- a/lib/node/fg_node_suspect.c
+++ b/lib/node/fg_node_suspect.c
@@ -14,7 +14,7 @@
 	ev->req = fg_hash_mix(fg_hash_mix(n->self, n->conf.member.boot), r->id)
 			  << 8 |
 		  (r->attempts & 0xff);
-	if (fg_suspects_event(n->suspects, n->now, n->self, ev)) {
+	if (fg_suspects_handle_event(n->suspects, n->now, n->self, ev)) {
 		fg_node_broadcast(n, msg);
 		fg_node_event(n, "suspect",
 			      json_pack("{s:I,s:i}", "fingerprint",
@@ -33,7 +33,7 @@
 		return true;
 	switch (fg_suspects_check(n->suspects, n->now, r->fingerprint,
 				  &retry_after_ms)) {
-	case FG_SUSPECT_CLEAR:
+	case FG_SUSPECT_ALLOW:
 		r->suspect = false;
 		return true;
 	case FG_SUSPECT_RUN_ALONE:
@@ -65,7 +65,7 @@
 	if (crashed)
 		tell(n, r, FG_SUSPECT_CRASH);
 	else if (r->suspect)
-		tell(n, r, ran_none ? FG_SUSPECT_UNRUN : FG_SUSPECT_FINISHED);
+		tell(n, r, ran_none ? FG_SUSPECT_NOT_RUN : FG_SUSPECT_FINISHED);
 	r->suspect = false;
 }
 
@@ -73,10 +73,10 @@
  * if it died, either could be to blame. */
 bool fg_suspect_crowded(struct fg_node *n, const struct fg_req *r, uint64_t ep)
 {
-	return r->suspect && fg_suspects_on_endpoint(n->suspects, n->now, ep);
+	return r->suspect && fg_suspects_is_running_on(n->suspects, n->now, ep);
 }
 
 void fg_suspect_msg(struct fg_node *n, uint64_t from, const fg_suspect *ev)
 {
-	fg_suspects_event(n->suspects, n->now, from, ev);
+	fg_suspects_handle_event(n->suspects, n->now, from, ev);
 }
--- a/lib/node/fg_node_wait.c
+++ b/lib/node/fg_node_wait.c
@@ -37,7 +37,8 @@
 /* Time until its adapter must be there, for it to be done in time. */
 static uint32_t slack_ms(struct fg_node *n, const struct fg_req *r)
 {
-	uint32_t service_ms = fg_estimate_ms(n->estimate, r->cls, 95);
+	uint32_t service_ms =
+		fg_estimate_percentile_ms(n->estimate, r->cls, 95);
 	uint32_t left_ms = fg_req_left_ms(n, r);
 
 	return left_ms > service_ms ? left_ms - service_ms : 0;
--- a/lib/node/fg_node_wire.c
+++ b/lib/node/fg_node_wire.c
@@ -35,7 +35,8 @@
 		fg_owner_on_table(n->owner, n->now, &own, fg_wire_owner, n);
 		break;
 	case FG_PART_LEDGER:
-		fg_ledger_on_table(n->ledger, n->now, &own, fg_wire_ledger, n);
+		fg_ledger_handle_result(n->ledger, n->now, &own, fg_wire_ledger,
+					n);
 		break;
 	case FG_PART_CONFIG:
 		fg_confsync_on_table(n->confsync, n->now, &own,
@@ -66,7 +67,7 @@
 	case FG_MA_DOWN:
 		fg_own_peer_dead(n, act->to);
 		fg_models_peer_gone(n, act->to);
-		fg_suspects_instance_dead(n->suspects, act->to);
+		fg_suspects_handle_dead_instance(n->suspects, act->to);
 		fg_route_owner_lost(n, act->to);
 		fg_node_event(n, "peer_down",
 			      json_pack("{s:I}", "id", (json_int_t)act->to));
--- a/lib/slots/fg_loadgate.c
+++ b/lib/slots/fg_loadgate.c
@@ -16,20 +16,20 @@
 void fg_loadgate_init(struct fg_loadgate *g, uint32_t usual_ms)
 {
 	g->window = WINDOW_START;
-	g->base_ms = usual_ms;
-	g->recent_ms = usual_ms;
+	g->baseline_ms = usual_ms;
+	g->mean_ms = usual_ms;
 }
 
-bool fg_loadgate_open(const struct fg_loadgate *g, uint32_t running)
+bool fg_loadgate_is_open(const struct fg_loadgate *g, uint32_t running)
 {
 	return running < (uint32_t)g->window;
 }
 
-void fg_loadgate_ended(struct fg_loadgate *g, uint32_t took_ms,
-		       uint32_t running)
+void fg_loadgate_record_load(struct fg_loadgate *g, uint32_t took_ms,
+			     uint32_t running)
 {
-	g->recent_ms += RECENT_GAIN * (took_ms - g->recent_ms);
-	if (took_ms > g->base_ms * SLOW_FACTOR)
+	g->mean_ms += RECENT_GAIN * (took_ms - g->mean_ms);
+	if (took_ms > g->baseline_ms * SLOW_FACTOR)
 		g->window *= WINDOW_CUT;
 	else if (running + 1 >= (uint32_t)g->window)
 		g->window += WINDOW_STEP / g->window;
@@ -43,5 +43,5 @@
 
 	if (ahead <= 0)
 		return 0;
-	return (uint32_t)(ahead / g->window * g->recent_ms);
+	return (uint32_t)(ahead / g->window * g->mean_ms);
 }
--- a/lib/slots/fg_loadgate.h
+++ b/lib/slots/fg_loadgate.h
@@ -16,20 +16,20 @@
 #include <stdint.h>
 
 struct fg_loadgate {
-	double window;	  /* loads at once, at least 1 */
-	uint32_t base_ms; /* what a load takes at full speed */
-	double recent_ms; /* what loads took lately, moving average */
+	double window;	      /* loads at once, at least 1 */
+	uint32_t baseline_ms; /* what a load takes at full speed */
+	double mean_ms;	      /* what loads took lately, moving average */
 };
 
 /* `usual_ms`: the time of a load as far as it is known before the first. */
 void fg_loadgate_init(struct fg_loadgate *g, uint32_t usual_ms);
 
 /* May another load begin beside `running` ones? */
-bool fg_loadgate_open(const struct fg_loadgate *g, uint32_t running);
+bool fg_loadgate_is_open(const struct fg_loadgate *g, uint32_t running);
 
 /* A load ended after took_ms, with `running` others still on their way. */
-void fg_loadgate_ended(struct fg_loadgate *g, uint32_t took_ms,
-		       uint32_t running);
+void fg_loadgate_record_load(struct fg_loadgate *g, uint32_t took_ms,
+			     uint32_t running);
 
 /* Expected time until one more load begins, behind `running` and `waiting`
  * ones. */
--- a/lib/slots/fg_slots.c
+++ b/lib/slots/fg_slots.c
@@ -91,7 +91,7 @@
 		struct fg_slot *slot = (struct fg_slot *)&s->slots[i];
 
 		if (slot->state != RESIDENT ||
-		    now - slot->used < FG_SLOTS_IDLE_MS)
+		    now - slot->used < FG_SLOTS_MIN_IDLE_MS)
 			continue;
 		if (best == NULL || slot->used < best->used)
 			best = slot;
@@ -99,7 +99,7 @@
 	return best;
 }
 
-uint32_t fg_slots_spare_age(const struct fg_slots *s, fg_ms now)
+uint32_t fg_slots_spare_age_ms(const struct fg_slots *s, fg_ms now)
 {
 	const struct fg_slot *v;
 
@@ -140,13 +140,13 @@
 	if (slot != NULL && fg_slot_is_current(slot))
 		return FG_SLOT_RESIDENT;
 	if (slot != NULL && slot->state != LEAVING)
-		return FG_SLOT_COMING;
-	return want_of(s, key) != NULL ? FG_SLOT_COMING : FG_SLOT_ABSENT;
+		return FG_SLOT_PENDING;
+	return want_of(s, key) != NULL ? FG_SLOT_PENDING : FG_SLOT_ABSENT;
 }
 
-enum fg_slot_state fg_slots_want(struct fg_slots *s, fg_ms now,
-				 const char *model, const char *adapter,
-				 uint64_t version)
+enum fg_slot_state fg_slots_request_load(struct fg_slots *s, fg_ms now,
+					 const char *model, const char *adapter,
+					 uint64_t version)
 {
 	struct fg_want w = { .since = now, .asked = now, .version = version };
 	struct fg_want *before;
@@ -154,7 +154,7 @@
 
 	w.key = fg_adapter_key(model, adapter);
 	if (version > fg_slots_newest(s, w.key))
-		fg_slots_announced(s, w.key, version);
+		fg_slots_announce_version(s, w.key, version);
 	before = want_of(s, w.key);
 	if (before != NULL) {
 		before->asks++;
@@ -162,7 +162,7 @@
 	}
 	state = fg_slots_state(s, w.key);
 	if (state != FG_SLOT_ABSENT) {
-		fg_slots_used(s, now, w.key);
+		fg_slots_mark_used(s, now, w.key);
 		return state;
 	}
 	if (adapter[0] == '\0' || strcmp(model, s->base.model) != 0)
@@ -172,10 +172,10 @@
 	g_strlcpy(w.model, model, sizeof(w.model));
 	g_strlcpy(w.adapter, adapter, sizeof(w.adapter));
 	g_array_append_val(s->wants, w);
-	return FG_SLOT_COMING;
+	return FG_SLOT_PENDING;
 }
 
-void fg_slots_used(struct fg_slots *s, fg_ms now, uint64_t key)
+void fg_slots_mark_used(struct fg_slots *s, fg_ms now, uint64_t key)
 {
 	struct fg_slot *slot = fg_slot_of(s, key);
 
@@ -183,7 +183,8 @@
 		slot->used = now;
 }
 
-void fg_slots_announced(struct fg_slots *s, uint64_t key, uint64_t version)
+void fg_slots_announce_version(struct fg_slots *s, uint64_t key,
+			       uint64_t version)
 {
 	struct fg_slot *slot = fg_slot_of(s, key);
 
@@ -202,7 +203,8 @@
 
 /* ---- What the owner tells ---- */
 
-uint32_t fg_slots_held(const struct fg_slots *s, struct fg_fleet_held *out)
+uint32_t fg_slots_list_resident(const struct fg_slots *s,
+				struct fg_fleet_held *out)
 {
 	uint32_t n = 0;
 
@@ -220,7 +222,7 @@
 	return n;
 }
 
-uint32_t fg_slots_fetching(const struct fg_slots *s)
+uint32_t fg_slots_count_fetching(const struct fg_slots *s)
 {
 	uint32_t n = 0;
 
@@ -237,7 +239,7 @@
 	return ms;
 }
 
-uint32_t fg_slots_coming(const struct fg_slots *s, uint64_t *out)
+uint32_t fg_slots_list_pending(const struct fg_slots *s, uint64_t *out)
 {
 	uint32_t n = 0;
 
@@ -250,12 +252,12 @@
 	return n;
 }
 
-uint32_t fg_slots_queue(const struct fg_slots *s)
+uint32_t fg_slots_queue_len(const struct fg_slots *s)
 {
 	return s->wants->len;
 }
 
-uint32_t fg_slots_to_fetch(const struct fg_slots *s)
+uint32_t fg_slots_count_fetch_queued(const struct fg_slots *s)
 {
 	uint32_t n = 0;
 
--- a/lib/slots/fg_slots_internal.h
+++ b/lib/slots/fg_slots_internal.h
@@ -73,7 +73,7 @@
 			     const char *adapter);
 void fg_slots_drop(struct fg_slots *s, struct fg_slot *slot);
 
-/* The adapter to evict: unused for longest, and for FG_SLOTS_IDLE_MS. */
+/* The adapter to evict: unused for longest, and for FG_SLOTS_MIN_IDLE_MS. */
 struct fg_slot *fg_slots_victim(const struct fg_slots *s, fg_ms now);
 
 uint32_t fg_slots_count(const struct fg_slots *s, enum fg_slot_phase phase);
--- a/lib/slots/fg_slots_result.c
+++ b/lib/slots/fg_slots_result.c
@@ -70,8 +70,8 @@
 	fg_slots_drop(s, slot);
 }
 
-void fg_slots_ordered(struct fg_slots *s, fg_ms now,
-		      enum fg_order_result result)
+void fg_slots_handle_result(struct fg_slots *s, fg_ms now,
+			    enum fg_order_result result)
 {
 	struct fg_slot *slot = fg_slot_of(s, s->sent_key);
 	enum fg_slots_act sent = s->sent;
@@ -141,8 +141,8 @@
 	g_hash_table_add(s->held_once, g_memdup2(&key, sizeof(key)));
 }
 
-void fg_slots_reported(struct fg_slots *s, fg_ms now,
-		       const struct fg_report *report)
+void fg_slots_handle_report(struct fg_slots *s, fg_ms now,
+			    const struct fg_report *report)
 {
 	struct fg_slot old[FG_SLOTS_MAX];
 	uint32_t n_old = s->n;
--- a/lib/slots/fg_slots_step.c
+++ b/lib/slots/fg_slots_step.c
@@ -43,7 +43,7 @@
 		const struct fg_want *w =
 			&g_array_index(s->wants, struct fg_want, i - 1);
 
-		if (now - w->asked > (fg_ms)s->conf.want_max_ms ||
+		if (now - w->asked > (fg_ms)s->conf.request_ttl_ms ||
 		    (s->synced && fg_slot_of(s, w->key) != NULL))
 			g_array_remove_index(s->wants, i - 1);
 	}
@@ -104,7 +104,7 @@
 	struct fg_slot *slot;
 
 	if (want == s->wants->len ||
-	    fg_slots_count(s, COMING) >= s->conf.coming_max)
+	    fg_slots_count(s, COMING) >= s->conf.loads_max)
 		return false;
 	if (s->n < s->conf.slots) {
 		begin_load(s, now, want, step);
@@ -125,7 +125,7 @@
 struct fg_slots_step fg_slots_next(struct fg_slots *s, fg_ms now,
 				   bool store_open)
 {
-	struct fg_slots_step step = { .wake = FG_MS_NEVER };
+	struct fg_slots_step step = { .wake_at = FG_MS_NEVER };
 	struct fg_slot *slot;
 
 	drop_wants(s, now);
@@ -135,17 +135,17 @@
 		if (now >= s->report_at)
 			remember_sent(s, FG_SLOTS_REPORT, NULL, &step);
 		else
-			step.wake = s->report_at;
+			step.wake_at = s->report_at;
 		return step;
 	}
 	if (s->base.state != RESIDENT) {
 		if (now >= s->base.check_at)
 			remember_sent(s, FG_SLOTS_LOAD, &s->base, &step);
 		else
-			step.wake = s->base.check_at;
+			step.wake_at = s->base.check_at;
 		return step;
 	}
-	slot = due_check(s, now, &step.wake);
+	slot = due_check(s, now, &step.wake_at);
 	if (slot != NULL) {
 		remember_sent(s,
 			      slot->state == LEAVING ? FG_SLOTS_UNLOAD
@@ -154,6 +154,6 @@
 		return step;
 	}
 	if (s->wants->len > 0 && !begin_want(s, now, store_open, &step))
-		step.wake = MIN(step.wake, now + FG_SLOTS_CHECK_MS);
+		step.wake_at = MIN(step.wake_at, now + FG_SLOTS_CHECK_MS);
 	return step;
 }
--- a/tests/bench/bench_ledger.c
+++ b/tests/bench/bench_ledger.c
@@ -67,15 +67,15 @@
 	struct fg_table_result *res;
 
 	if (p->op == NULL) {
-		fg_ledger_outcome(b->ledger, b->now, p->id, FG_DONE, FG_R_NONE,
-				  "{\"filed\":1}", emit, b);
+		fg_ledger_record_outcome(b->ledger, b->now, p->id, FG_DONE,
+					 FG_R_NONE, "{\"filed\":1}", emit, b);
 		return;
 	}
 	res = fg_table_result_new(p->op->id, p->op->kind, FG_PF_OK);
 	for (size_t i = 0; i < p->op->n_writes; i++)
 		fg_table_result_row(res, p->op->writes[i].key, ++b->row_version,
 				    NULL);
-	fg_ledger_on_table(b->ledger, b->now, res, emit, b);
+	fg_ledger_handle_result(b->ledger, b->now, res, emit, b);
 	fg_table_result_free(res);
 	fg_table_op_free(p->op);
 }
@@ -108,9 +108,9 @@
 {
 	struct fg_ledger_conf conf = { .self = 1,
 				       .group_ms = group_ms,
-				       .start_ms = 2000,
+				       .start_timeout_ms = 2000,
 				       .record_retry_ms = 200,
-				       .keep_s = 86400 };
+				       .retention_s = 86400 };
 	struct bench *b = g_new0(struct bench, 1);
 	struct fg_rand rand;
 	uint64_t started = 0;
--- a/tests/bench/slopes_broker.c
+++ b/tests/bench/slopes_broker.c
@@ -135,7 +135,7 @@
 	for (size_t i = 0; i < op->n_writes; i++)
 		fg_table_result_row(res, op->writes[i].key, ++f->row_version,
 				    NULL);
-	fg_ledger_on_table(f->l, now, res, on_ledger, f);
+	fg_ledger_handle_result(f->l, now, res, on_ledger, f);
 	fg_table_result_free(res);
 	fg_table_op_free(op);
 }
@@ -144,7 +144,7 @@
 static void ledger_step(struct filings *f, fg_ms now)
 {
 	for (guint i = 0; i < f->running->len; i++)
-		fg_ledger_outcome(
+		fg_ledger_record_outcome(
 			f->l, now, g_array_index(f->running, uint64_t, i),
 			FG_DONE, FG_R_NONE, "{\"filed\":1}", on_ledger, f);
 	g_array_set_size(f->running, 0);
--- a/tests/fuzz/fuzz_ledger.c
+++ b/tests/fuzz/fuzz_ledger.c
@@ -98,7 +98,7 @@
 		fg_table_result_row(res, key, take(r), value);
 		g_free(value);
 	}
-	if (!fg_ledger_on_table(l, r->now, res, emit, r))
+	if (!fg_ledger_handle_result(l, r->now, res, emit, r))
 		abort();
 	fg_table_result_free(res);
 	fg_table_op_free(op);
@@ -117,9 +117,9 @@
 					take(r) % 2, r->now + 200, emit, r);
 		break;
 	case 1:
-		fg_ledger_outcome(l, r->now, take(r) % (FILINGS_MAX + 1),
-				  1 + take(r) % FG_UNKNOWN, FG_R_NONE, key,
-				  emit, r);
+		fg_ledger_record_outcome(l, r->now, take(r) % (FILINGS_MAX + 1),
+					 1 + take(r) % FG_UNKNOWN, FG_R_NONE,
+					 key, emit, r);
 		break;
 	case 2:
 		fg_ledger_tick(l, r->now, emit, r);
@@ -133,13 +133,14 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	struct fg_ledger_conf conf = {
-		.self = 1, .group_ms = 4, .start_ms = 100, .record_retry_ms = 20
-	};
+	struct fg_ledger_conf conf = { .self = 1,
+				       .group_ms = 4,
+				       .start_timeout_ms = 100,
+				       .record_retry_ms = 20 };
 	struct run r = { .data = data, .left = size, .now = 1000 };
 	struct fg_ledger *l = fg_ledger_new(&conf, 1);
 
-	fg_ledger_set_wall(l, 0);
+	fg_ledger_set_wall_offset(l, 0);
 	while (r.left > 0)
 		step(&r, l);
 	for (size_t i = 0; i < r.n_ops; i++)
--- a/tests/unit/ledger_model.c
+++ b/tests/unit/ledger_model.c
@@ -309,14 +309,14 @@
 		struct fg_ledger_conf conf = {
 			.self = i + 1,
 			.group_ms = 4,
-			.start_ms = 300,
+			.start_timeout_ms = 300,
 			.record_retry_ms = 60,
-			.keep_s = 7200,
+			.retention_s = 7200,
 		};
 
 		m->inst[i] = (struct instance){ .m = m, .index = i };
 		m->inst[i].ledger = fg_ledger_new(&conf, seed);
-		fg_ledger_set_dead(m->inst[i].ledger, is_dead, m);
+		fg_ledger_set_is_dead(m->inst[i].ledger, is_dead, m);
 	}
 	return m;
 }
@@ -366,8 +366,9 @@
 				     : 1 + fg_rand_below(&m->rand, FG_UNKNOWN);
 	f->ended = true;
 	snprintf(f->text, sizeof(f->text), "answer-%u", (unsigned int)id);
-	fg_ledger_outcome(inst->ledger, m->now, id, f->outcome, FG_R_NONE,
-			  f->outcome == FG_DONE ? f->text : NULL, emit, inst);
+	fg_ledger_record_outcome(
+		inst->ledger, m->now, id, f->outcome, FG_R_NONE,
+		f->outcome == FG_DONE ? f->text : NULL, emit, inst);
 }
 
 static void handle(struct model *m, struct event *ev)
@@ -389,7 +390,8 @@
 		return;
 	}
 	if (inst->ledger != NULL && ev->kind == EV_RESULT)
-		fg_ledger_on_table(inst->ledger, m->now, ev->res, emit, inst);
+		fg_ledger_handle_result(inst->ledger, m->now, ev->res, emit,
+					inst);
 	else if (inst->ledger != NULL)
 		end_dispatch(m, inst, ev->id);
 	fg_table_result_free(ev->res);
--- a/tests/unit/test_admit.c
+++ b/tests/unit/test_admit.c
@@ -58,10 +58,14 @@
 	g_assert_true(fg_estimate_fits(e, FG_CLASS_DRAFT, 1, 0, &retry_ms));
 	for (int i = 1; i <= 100; i++)
 		fg_estimate_add(e, 1000, FG_CLASS_DRAFT, i * 10);
-	g_assert_cmpuint(fg_estimate_ms(e, FG_CLASS_DRAFT, 50), >=, 500);
-	g_assert_cmpuint(fg_estimate_ms(e, FG_CLASS_DRAFT, 50), <=, 650);
-	g_assert_cmpuint(fg_estimate_ms(e, FG_CLASS_DRAFT, 99), >=, 980);
-	g_assert_cmpuint(fg_estimate_ms(e, FG_CLASS_FILING, 50), ==, 0);
+	g_assert_cmpuint(fg_estimate_percentile_ms(e, FG_CLASS_DRAFT, 50), >=,
+			 500);
+	g_assert_cmpuint(fg_estimate_percentile_ms(e, FG_CLASS_DRAFT, 50), <=,
+			 650);
+	g_assert_cmpuint(fg_estimate_percentile_ms(e, FG_CLASS_DRAFT, 99), >=,
+			 980);
+	g_assert_cmpuint(fg_estimate_percentile_ms(e, FG_CLASS_FILING, 50), ==,
+			 0);
 	g_assert_true(fg_estimate_fits(e, FG_CLASS_DRAFT, 700, 0, &retry_ms));
 	g_assert_false(
 		fg_estimate_fits(e, FG_CLASS_DRAFT, 700, 5000, &retry_ms));
@@ -84,7 +88,8 @@
 	/* New samples outweigh the old ones within a few half-lives. */
 	for (now += 15000; now < 115000; now += 100)
 		fg_estimate_add(e, now, FG_CLASS_DRAFT, 100);
-	g_assert_cmpuint(fg_estimate_ms(e, FG_CLASS_DRAFT, 50), <, 200);
+	g_assert_cmpuint(fg_estimate_percentile_ms(e, FG_CLASS_DRAFT, 50), <,
+			 200);
 	fg_estimate_free(e);
 }
 
@@ -105,19 +110,19 @@
 	int again = 0;
 
 	for (int i = 0; i < 1000; i++) {
-		fg_retry_first(r, i * 5, cls);
-		again += fg_retry_again(r, i * 5, cls, 1, 9999, true,
-					&backoff_ms);
+		fg_retry_count_first(r, i * 5, cls);
+		again += fg_retry_take(r, i * 5, cls, 1, 9999, true,
+				       &backoff_ms);
 	}
 	g_assert_cmpint(again, ==, 100 + 3);
-	g_assert_true(fg_retry_again(r, 5000, FG_CLASS_DRAFT, 1, 9999, true,
-				     &backoff_ms));
-	g_assert_cmpuint(fg_retry_left(r, 5000, cls), ==, 0);
-	g_assert_cmpuint(fg_retry_left(r, 5000, FG_CLASS_DRAFT), ==, 2);
+	g_assert_true(fg_retry_take(r, 5000, FG_CLASS_DRAFT, 1, 9999, true,
+				    &backoff_ms));
+	g_assert_cmpuint(fg_retry_budget_left(r, 5000, cls), ==, 0);
+	g_assert_cmpuint(fg_retry_budget_left(r, 5000, FG_CLASS_DRAFT), ==, 2);
 	/* All of it is out of the window 20 s later. */
-	g_assert_cmpuint(fg_retry_left(r, 25000, cls), ==, 3);
+	g_assert_cmpuint(fg_retry_budget_left(r, 25000, cls), ==, 3);
 	again = 0;
-	while (fg_retry_again(r, 25000, cls, 1, 9999, true, &backoff_ms))
+	while (fg_retry_take(r, 25000, cls, 1, 9999, true, &backoff_ms))
 		again++;
 	g_assert_cmpint(again, ==, 3);
 	fg_retry_free(r);
@@ -130,12 +135,12 @@
 	uint32_t wait_ms;
 
 	g_assert_false(
-		fg_retry_again(r, 0, FG_CLASS_FILING, 1, 9999, true, &wait_ms));
-	g_assert_true(fg_retry_again(r, 0, FG_CLASS_FILING, 1, 9999, false,
-				     &wait_ms));
-	g_assert_false(fg_retry_again(r, 0, draft, 4, 9999, true, &wait_ms));
-	g_assert_false(fg_retry_again(r, 0, draft, 3, 99, true, &wait_ms));
-	g_assert_true(fg_retry_again(r, 0, draft, 3, 9999, true, &wait_ms));
+		fg_retry_take(r, 0, FG_CLASS_FILING, 1, 9999, true, &wait_ms));
+	g_assert_true(
+		fg_retry_take(r, 0, FG_CLASS_FILING, 1, 9999, false, &wait_ms));
+	g_assert_false(fg_retry_take(r, 0, draft, 4, 9999, true, &wait_ms));
+	g_assert_false(fg_retry_take(r, 0, draft, 3, 99, true, &wait_ms));
+	g_assert_true(fg_retry_take(r, 0, draft, 3, 9999, true, &wait_ms));
 	g_assert_cmpuint(wait_ms, >=, 100);
 	g_assert_cmpuint(wait_ms, <=, 300);
 	fg_retry_free(r);
@@ -144,11 +149,11 @@
 /* ---- Suspects ---- */
 
 static const struct fg_suspects_conf suspects_conf = {
-	.keep_ms = 600000,
+	.retention_ms = 600000,
 	.refuse_crashes = 2,
-	.sick_window_ms = 120000,
-	.sick_fingerprints = 3,
-	.max = 64,
+	.faulty_ep_window_ms = 120000,
+	.faulty_ep_deaths = 3,
+	.entries_max = 64,
 };
 
 static bool event(struct fg_suspects *s, fg_ms now, enum fg_suspect_event what,
@@ -158,7 +163,7 @@
 		.fingerprint = fingerprint, .ep = ep, .event = what, .req = req
 	};
 
-	return fg_suspects_event(s, now, req % 3 + 1, &ev);
+	return fg_suspects_handle_event(s, now, req % 3 + 1, &ev);
 }
 
 static bool crash(struct fg_suspects *s, fg_ms now, uint64_t fingerprint,
@@ -180,20 +185,20 @@
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 	struct fg_suspect_view view[4];
 
-	g_assert_cmpint(verdict(s, 0, 7), ==, FG_SUSPECT_CLEAR);
+	g_assert_cmpint(verdict(s, 0, 7), ==, FG_SUSPECT_ALLOW);
 	g_assert_true(crash(s, 10, 7, 1, 100));
 	g_assert_false(crash(s, 5000, 7, 1, 100)); /* told again */
 	g_assert_cmpint(verdict(s, 20, 7), ==, FG_SUSPECT_RUN_ALONE);
 	g_assert_true(event(s, 30, FG_SUSPECT_STARTED, 7, 2, 101));
 	g_assert_cmpint(verdict(s, 40, 7), ==, FG_SUSPECT_WAIT);
-	g_assert_true(fg_suspects_on_endpoint(s, 40, 2));
-	g_assert_false(fg_suspects_on_endpoint(s, 40, 1));
+	g_assert_true(fg_suspects_is_running_on(s, 40, 2));
+	g_assert_false(fg_suspects_is_running_on(s, 40, 1));
 	g_assert_true(crash(s, 9000, 7, 2, 101));
 	g_assert_cmpint(verdict(s, 9001, 7), ==, FG_SUSPECT_REFUSE);
 	g_assert_cmpuint(fg_suspects_list(s, 9001, view, 4), ==, 1);
 	g_assert_true(view[0].refused);
 	g_assert_cmpuint(view[0].crashes, ==, 2);
-	g_assert_cmpint(verdict(s, 609000, 7), ==, FG_SUSPECT_CLEAR);
+	g_assert_cmpint(verdict(s, 609000, 7), ==, FG_SUSPECT_ALLOW);
 	fg_suspects_free(s);
 }
 
@@ -204,7 +209,7 @@
 	crash(s, 10, 7, 1, 100);
 	event(s, 20, FG_SUSPECT_STARTED, 7, 2, 101);
 	event(s, 900, FG_SUSPECT_FINISHED, 7, 2, 101);
-	g_assert_cmpint(verdict(s, 1000, 7), ==, FG_SUSPECT_CLEAR);
+	g_assert_cmpint(verdict(s, 1000, 7), ==, FG_SUSPECT_ALLOW);
 	fg_suspects_free(s);
 }
 
@@ -226,7 +231,7 @@
 
 	crash(s, 10, 7, 1, 100);
 	event(s, 20, FG_SUSPECT_STARTED, 7, 2, 101);
-	fg_suspects_instance_dead(s, 101 % 3 + 1);
+	fg_suspects_handle_dead_instance(s, 101 % 3 + 1);
 	g_assert_cmpint(verdict(s, 30, 7), ==, FG_SUSPECT_RUN_ALONE);
 	fg_suspects_free(s);
 }
@@ -261,12 +266,12 @@
 	g_assert_cmpint(verdict(s, 60000, 7), ==, FG_SUSPECT_RUN_ALONE);
 	for (uint64_t i = 0; i < 3; i++) {
 		g_assert_cmpint(verdict(s, 60000, 20 + i), ==,
-				FG_SUSPECT_CLEAR);
+				FG_SUSPECT_ALLOW);
 		crash(s, 61000 + 10000 * i, 30 + i, 2, 300 + i);
 	}
-	g_assert_cmpint(verdict(s, 90000, 7), ==, FG_SUSPECT_CLEAR);
+	g_assert_cmpint(verdict(s, 90000, 7), ==, FG_SUSPECT_ALLOW);
 	/* Long after its sick time it still blames nobody. */
-	g_assert_cmpint(verdict(s, 500000, 7), ==, FG_SUSPECT_CLEAR);
+	g_assert_cmpint(verdict(s, 500000, 7), ==, FG_SUSPECT_ALLOW);
 	fg_suspects_free(s);
 }
 
@@ -306,7 +311,7 @@
 	crash(s, 10, 7, 1, 100);
 	event(s, 20, FG_SUSPECT_STARTED, 7, 2, 301);
 	g_assert_cmpint(verdict(s, 25, 7), ==, FG_SUSPECT_WAIT);
-	event(s, 30, FG_SUSPECT_UNRUN, 7, 2, 301);
+	event(s, 30, FG_SUSPECT_NOT_RUN, 7, 2, 301);
 	g_assert_cmpint(verdict(s, 40, 7), ==, FG_SUSPECT_RUN_ALONE);
 	fg_suspects_free(s);
 }
@@ -321,10 +326,10 @@
 	g_assert_true(fg_suspects_clear(s, 7));
 	g_assert_false(fg_suspects_clear(s, 7));
 	crash(s, 11000, 7, 2, 101); /* a repeat that arrives late */
-	g_assert_cmpint(verdict(s, 11001, 7), ==, FG_SUSPECT_CLEAR);
+	g_assert_cmpint(verdict(s, 11001, 7), ==, FG_SUSPECT_ALLOW);
 	crash(s, 20000, 7, 1, 102);
 	g_assert_true(event(s, 21000, FG_SUSPECT_CLEARED, 7, 0, 500));
-	g_assert_cmpint(verdict(s, 21001, 7), ==, FG_SUSPECT_CLEAR);
+	g_assert_cmpint(verdict(s, 21001, 7), ==, FG_SUSPECT_ALLOW);
 	crash(s, 30000, 7, 1, 103);
 	g_assert_false(event(s, 31000, FG_SUSPECT_CLEARED, 7, 0, 500));
 	g_assert_cmpint(verdict(s, 31001, 7), ==, FG_SUSPECT_RUN_ALONE);
@@ -367,11 +372,11 @@
 		while (seen != (1u << G_N_ELEMENTS(events)) - 1) {
 			uint32_t i = fg_rand_below(&rand, G_N_ELEMENTS(events));
 
-			fg_suspects_event(s, 10, 1, &events[i]);
+			fg_suspects_handle_event(s, 10, 1, &events[i]);
 			seen |= 1u << i;
 		}
 		g_assert_cmpint(verdict(s, 20, 7), ==, FG_SUSPECT_REFUSE);
-		g_assert_cmpint(verdict(s, 20, 8), ==, FG_SUSPECT_CLEAR);
+		g_assert_cmpint(verdict(s, 20, 8), ==, FG_SUSPECT_ALLOW);
 		g_assert_cmpint(verdict(s, 20, 9), ==, FG_SUSPECT_WAIT);
 		fg_suspects_free(s);
 	}
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -46,12 +46,12 @@
 	struct fg_fleet *f = make();
 	struct fg_fleet_ep *ep = put(f, 1000, "e1", false);
 
-	g_assert_true(fg_ep_usable(ep, 1000));
+	g_assert_true(fg_ep_is_usable(ep, 1000));
 	put(f, 1100, "e1", true);
-	g_assert_false(fg_ep_usable(ep, 1100));
+	g_assert_false(fg_ep_is_usable(ep, 1100));
 	put(f, 1100, "e2", false);
 	fg_fleet_remove(f, 1200, "e2");
-	g_assert_false(fg_ep_usable(fg_fleet_find(f, "e2"), 1200));
+	g_assert_false(fg_ep_is_usable(fg_fleet_find(f, "e2"), 1200));
 	fg_fleet_tick(f, 1200);
 	g_assert_null(fg_fleet_find(f, "e2"));
 	g_assert_cmpuint(n_dropped, ==, 1);
@@ -70,14 +70,14 @@
 	fg_fleet_registry_up(f, 8000);
 	fg_fleet_remove(f, 8100, "e1");
 	fg_fleet_remove(f, 8100, "e2");
-	g_assert_true(fg_ep_usable(ep, 8200));
+	g_assert_true(fg_ep_is_usable(ep, 8200));
 	put(f, 9000, "e2", false);
-	fg_fleet_tick(f, 8000 + FG_FLEET_RETURN_MS);
+	fg_fleet_tick(f, 8000 + FG_FLEET_LAPSE_GRACE_MS);
 	g_assert_null(fg_fleet_find(f, "e1"));
 	g_assert_nonnull(fg_fleet_find(f, "e2"));
 	/* Later removals are taken at their word. */
 	fg_fleet_remove(f, 11000, "e2");
-	g_assert_false(fg_ep_usable(fg_fleet_find(f, "e2"), 11000));
+	g_assert_false(fg_ep_is_usable(fg_fleet_find(f, "e2"), 11000));
 	fg_fleet_free(f);
 }
 
@@ -89,7 +89,7 @@
 	fg_fleet_registry_down(f, 2000);
 	fg_fleet_registry_up(f, 8000);
 	fg_fleet_remove(f, 8100, "e1");
-	g_assert_false(fg_ep_usable(ep, 8200));
+	g_assert_false(fg_ep_is_usable(ep, 8200));
 	fg_fleet_free(f);
 }
 
@@ -102,8 +102,8 @@
 	fg_fleet_read_begin(f);
 	put(f, 2000, "e2", false);
 	fg_fleet_read_end(f, 2000);
-	g_assert_false(fg_ep_usable(fg_fleet_find(f, "e1"), 2000));
-	g_assert_true(fg_ep_usable(fg_fleet_find(f, "e2"), 2000));
+	g_assert_false(fg_ep_is_usable(fg_fleet_find(f, "e1"), 2000));
+	g_assert_true(fg_ep_is_usable(fg_fleet_find(f, "e2"), 2000));
 	fg_fleet_free(f);
 }
 
@@ -120,8 +120,8 @@
 	facts = ep->facts;
 	facts.born = 77;
 	fg_fleet_put(f, 2000, &facts);
-	g_assert_null(fg_ep_adapter(ep, 5));
-	g_assert_true(fg_ep_usable(ep, 2000));
+	g_assert_null(fg_ep_adapter_find(ep, 5));
+	g_assert_true(fg_ep_is_usable(ep, 2000));
 	fg_fleet_free(f);
 }
 
@@ -129,16 +129,17 @@
 {
 	struct fg_fleet *f = make();
 	struct fg_fleet_ep *ep = put(f, 1000, "e1", false);
-	struct fg_ep_adapter *a = fg_ep_adapter_get(ep, 1000, 1);
+	struct fg_ep_adapter *a = fg_ep_adapter_find_or_add(ep, 1000, 1);
 
 	a->running = 1;
 	for (uint64_t key = 2; key < 200; key++)
-		g_assert_nonnull(fg_ep_adapter_get(ep, 1000 + (fg_ms)key, key));
+		g_assert_nonnull(
+			fg_ep_adapter_find_or_add(ep, 1000 + (fg_ms)key, key));
 	g_assert_cmpuint(ep->n_adapters, ==, FG_EP_ADAPTERS_MAX);
 	/* One in use never makes way. */
-	g_assert_nonnull(fg_ep_adapter(ep, 1));
-	g_assert_nonnull(fg_ep_adapter(ep, 199));
-	g_assert_null(fg_ep_adapter(ep, 2));
+	g_assert_nonnull(fg_ep_adapter_find(ep, 1));
+	g_assert_nonnull(fg_ep_adapter_find(ep, 199));
+	g_assert_null(fg_ep_adapter_find(ep, 2));
 	fg_fleet_free(f);
 }
 
@@ -147,18 +148,18 @@
 	struct fg_fleet *f = make();
 	struct fg_fleet_ep *ep = put(f, 1000, "e1", false);
 
-	fg_health_failed(ep, 1000);
-	g_assert_false(fg_health_ejected(ep, 1000));
-	fg_health_failed(ep, 1000);
-	g_assert_true(fg_health_ejected(ep, 1400));
-	g_assert_false(fg_health_ejected(ep, 1500));
-	fg_health_failed(ep, 1500);
-	g_assert_true(fg_health_ejected(ep, 2400));
-	fg_health_answered(ep, 2400, false);
-	g_assert_false(fg_health_ejected(ep, 2400));
+	fg_health_record_failure(ep, 1000);
+	g_assert_false(fg_health_is_ejected(ep, 1000));
+	fg_health_record_failure(ep, 1000);
+	g_assert_true(fg_health_is_ejected(ep, 1400));
+	g_assert_false(fg_health_is_ejected(ep, 1500));
+	fg_health_record_failure(ep, 1500);
+	g_assert_true(fg_health_is_ejected(ep, 2400));
+	fg_health_record_answer(ep, 2400, false);
+	g_assert_false(fg_health_is_ejected(ep, 2400));
 	g_assert_cmpfloat(ep->error_rate, >, 0.1);
 	for (int i = 0; i < 50; i++)
-		fg_health_timed(ep, 800, 100);
+		fg_health_record_first_token(ep, 800, 100);
 	g_assert_cmpfloat(ep->slowness, >, 5);
 	fg_fleet_free(f);
 }
@@ -184,7 +185,7 @@
 	g_assert_cmpuint(fg_uses_running(&u), ==, 3);
 	g_assert_cmpuint(fg_uses_pending_tokens(&u), ==, 300);
 	/* The word of an instance that is gone is forgotten. */
-	fg_uses_expire(&u, 1000 + FG_USES_KEEP_MS + 1);
+	fg_uses_expire(&u, 1000 + FG_USES_TTL_MS + 1);
 	g_assert_cmpuint(fg_uses_running(&u), ==, 1);
 	use.running = 0;
 	fg_uses_put(&u, &use);
@@ -344,8 +345,8 @@
 	ask.n_avoid = 1;
 	g_assert_true(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep == far);
 	ask.n_avoid = 0;
-	fg_health_failed(near, 2000);
-	fg_health_failed(near, 2000);
+	fg_health_record_failure(near, 2000);
+	fg_health_record_failure(near, 2000);
 	g_assert_true(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep == far);
 	put(f, 2000, "e1", true);
 	put(f, 2000, "w1", true);
--- a/tests/unit/test_ledger.c
+++ b/tests/unit/test_ledger.c
@@ -105,7 +105,7 @@
 	model_free(m);
 }
 
-/* Paused between the row and the dispatch for longer than start_ms. */
+/* Paused between the row and the dispatch for longer than start_timeout_ms. */
 static void test_pause_before_dispatch(void)
 {
 	struct model *m = quiet_model(2, FG_DONE);
@@ -263,9 +263,10 @@
 
 static void test_bound(void)
 {
-	struct fg_ledger_conf conf = {
-		.self = 1, .group_ms = 4, .start_ms = 300, .record_retry_ms = 60
-	};
+	struct fg_ledger_conf conf = { .self = 1,
+				       .group_ms = 4,
+				       .start_timeout_ms = 300,
+				       .record_retry_ms = 60 };
 	struct fg_ledger *l = fg_ledger_new(&conf, SEED);
 	uint32_t refused = 0;
 	char key[16];
@@ -331,7 +332,7 @@
 
 static void test_sweep(void)
 {
-	struct fg_ledger_conf conf = { .self = 1, .keep_s = 7200 };
+	struct fg_ledger_conf conf = { .self = 1, .retention_s = 7200 };
 	struct fg_ledger *l = fg_ledger_new(&conf, SEED);
 	fg_ms year = 31536000000;
 	struct fg_table_result *res;
@@ -339,7 +340,7 @@
 
 	fg_ledger_sweep(l, 10, keep_op, &s);
 	g_assert_null(s.op); /* no wall clock, no sweep */
-	fg_ledger_set_wall(l, 5 * year);
+	fg_ledger_set_wall_offset(l, 5 * year);
 	fg_ledger_sweep(l, 10, keep_op, &s);
 	g_assert_cmpint(s.op->kind, ==, FG_OP_SCAN);
 	res = fg_table_result_new(s.op->id, FG_OP_SCAN, FG_PF_OK);
@@ -348,7 +349,7 @@
 	add_aged(res, "filing/3", year);
 	fg_table_result_row(res, "filing/4", 3, "{\"format\":9}");
 	fg_table_op_free(s.op);
-	g_assert_true(fg_ledger_on_table(l, 20, res, keep_op, &s));
+	g_assert_true(fg_ledger_handle_result(l, 20, res, keep_op, &s));
 	/* Our clock is years ahead of the newest row: only what is older than
 	 * that row by the retention goes. */
 	g_assert_cmpuint(s.op->n_writes, ==, 1);
@@ -367,8 +368,8 @@
 	res = fg_table_result_new(s->op->id, s->op->kind, result);
 	fg_table_op_free(s->op);
 	s->op = NULL;
-	g_assert_true(fg_ledger_on_table(l, now, res, keep_op, s));
-	g_assert_false(fg_ledger_on_table(l, now, res, keep_op, s));
+	g_assert_true(fg_ledger_handle_result(l, now, res, keep_op, s));
+	g_assert_false(fg_ledger_handle_result(l, now, res, keep_op, s));
 	fg_table_result_free(res);
 	if (s->op == NULL)
 		fg_ledger_tick(l, now + 1000, keep_op, s);
@@ -380,7 +381,7 @@
 static void test_undo_absent_row(void)
 {
 	struct fg_ledger_conf conf = { .self = 1,
-				       .start_ms = 300,
+				       .start_timeout_ms = 300,
 				       .record_retry_ms = 60 };
 	struct fg_ledger *l = fg_ledger_new(&conf, SEED);
 	struct last_op s = { NULL };
--- a/tests/unit/test_slots.c
+++ b/tests/unit/test_slots.c
@@ -18,9 +18,9 @@
 		.model = MODEL,
 		.slots = SLOTS,
 		.load_ms = 250,
-		.coming_max = 4,
+		.loads_max = 4,
 		.queue_max = 6,
-		.want_max_ms = 1500,
+		.request_ttl_ms = 1500,
 	};
 
 	return fg_slots_new(&conf);
@@ -49,7 +49,7 @@
 	struct fg_slots_step step = fg_slots_next(s, now, true);
 
 	g_assert_cmpint(step.act, ==, FG_SLOTS_REPORT);
-	fg_slots_reported(s, now, &report);
+	fg_slots_handle_report(s, now, &report);
 }
 
 static uint64_t key(const char *adapter)
@@ -63,19 +63,19 @@
 	struct fg_slots_step step;
 
 	sync_empty(s, 1000, 7);
-	g_assert_cmpint(fg_slots_want(s, 1000, MODEL, "a1", 0), ==,
-			FG_SLOT_COMING);
+	g_assert_cmpint(fg_slots_request_load(s, 1000, MODEL, "a1", 0), ==,
+			FG_SLOT_PENDING);
 	step = fg_slots_next(s, 1000, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
 	g_assert_cmpstr(step.adapter, ==, "a1");
 	g_assert_cmpuint(step.expected_sequence, ==, 7);
-	fg_slots_ordered(s, 1002, FG_ORDER_ACCEPTED);
+	fg_slots_handle_result(s, 1002, FG_ORDER_ACCEPTED);
 	step = fg_slots_next(s, 1100, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_NOTHING);
-	g_assert_cmpint(step.wake, ==, 1252);
+	g_assert_cmpint(step.wake_at, ==, 1252);
 	step = fg_slots_next(s, 1252, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
-	fg_slots_ordered(s, 1253, FG_ORDER_HOLDS);
+	fg_slots_handle_result(s, 1253, FG_ORDER_HOLDS);
 	g_assert_cmpint(fg_slots_state(s, key("a1")), ==, FG_SLOT_RESIDENT);
 	g_assert_cmpuint(fg_slots_take_fetched_ms(s), ==, 253);
 	g_assert_cmpuint(fg_slots_take_fetched_ms(s), ==, 0);
@@ -90,18 +90,18 @@
 	struct fg_slots_step step;
 
 	sync_empty(s, 1000, 7);
-	fg_slots_want(s, 1000, MODEL, "a1", 0);
+	fg_slots_request_load(s, 1000, MODEL, "a1", 0);
 	fg_slots_next(s, 1000, true);
-	fg_slots_ordered(s, 1000, FG_ORDER_ACCEPTED);
+	fg_slots_handle_result(s, 1000, FG_ORDER_ACCEPTED);
 	for (fg_ms now = 1250; now < 1500; now += 50) {
 		step = fg_slots_next(s, now, true);
 		g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
-		fg_slots_ordered(s, now, FG_ORDER_ACCEPTED);
+		fg_slots_handle_result(s, now, FG_ORDER_ACCEPTED);
 	}
-	fg_slots_want(s, 1500, MODEL, "a2", 0);
+	fg_slots_request_load(s, 1500, MODEL, "a2", 0);
 	step = fg_slots_next(s, 1500, true);
 	if (strcmp(step.adapter, "a1") == 0) {
-		fg_slots_ordered(s, 1500, FG_ORDER_HOLDS);
+		fg_slots_handle_result(s, 1500, FG_ORDER_HOLDS);
 		step = fg_slots_next(s, 1500, true);
 	}
 	g_assert_cmpstr(step.adapter, ==, "a2");
@@ -117,17 +117,17 @@
 	struct fg_report report = base_report(9);
 	struct fg_slots_step step;
 
-	fg_slots_want(s, 1000, MODEL, "a1", 0);
+	fg_slots_request_load(s, 1000, MODEL, "a1", 0);
 	step = fg_slots_next(s, 1000, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_REPORT);
 	list(&report.coming[0], "a1", 1);
 	report.n_coming = 1;
-	fg_slots_reported(s, 1000, &report);
+	fg_slots_handle_report(s, 1000, &report);
 	for (fg_ms now = 1001; now < 1030; now++) {
 		step = fg_slots_next(s, now, true);
 		g_assert_cmpint(step.act, ==, FG_SLOTS_NOTHING);
 	}
-	g_assert_cmpint(fg_slots_state(s, key("a1")), ==, FG_SLOT_COMING);
+	g_assert_cmpint(fg_slots_state(s, key("a1")), ==, FG_SLOT_PENDING);
 	fg_slots_free(s);
 }
 
@@ -138,20 +138,20 @@
 	struct fg_report report = { .sequence = 0 };
 	struct fg_slots_step step;
 
-	fg_slots_want(s, 1000, MODEL, "a1", 0);
+	fg_slots_request_load(s, 1000, MODEL, "a1", 0);
 	fg_slots_next(s, 1000, true);
-	fg_slots_reported(s, 1000, &report);
-	g_assert_cmpuint(fg_slots_spare_age(s, 1000), ==, 0);
+	fg_slots_handle_report(s, 1000, &report);
+	g_assert_cmpuint(fg_slots_spare_age_ms(s, 1000), ==, 0);
 	step = fg_slots_next(s, 1000, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
 	g_assert_cmpstr(step.adapter, ==, "");
-	fg_slots_ordered(s, 1000, FG_ORDER_ACCEPTED);
+	fg_slots_handle_result(s, 1000, FG_ORDER_ACCEPTED);
 	step = fg_slots_next(s, 1001, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_NOTHING);
 	step = fg_slots_next(s, 4000, true);
 	g_assert_cmpstr(step.adapter, ==, "");
-	fg_slots_ordered(s, 4000, FG_ORDER_HOLDS);
-	fg_slots_want(s, 4000, MODEL, "a1", 0);
+	fg_slots_handle_result(s, 4000, FG_ORDER_HOLDS);
+	fg_slots_request_load(s, 4000, MODEL, "a1", 0);
 	step = fg_slots_next(s, 4000, true);
 	g_assert_cmpstr(step.adapter, ==, "a1");
 	g_assert_cmpuint(step.expected_sequence, ==, 1);
@@ -163,10 +163,10 @@
 	static const char *const names[SLOTS] = { "a1", "a2", "a3" };
 
 	for (uint32_t i = 0; i < SLOTS; i++) {
-		fg_slots_want(s, now + i, MODEL, names[i], 0);
+		fg_slots_request_load(s, now + i, MODEL, names[i], 0);
 		g_assert_cmpint(fg_slots_next(s, now + i, true).act, ==,
 				FG_SLOTS_LOAD);
-		fg_slots_ordered(s, now + i, FG_ORDER_HOLDS);
+		fg_slots_handle_result(s, now + i, FG_ORDER_HOLDS);
 	}
 }
 
@@ -177,19 +177,19 @@
 
 	sync_empty(s, 1000, 0);
 	fill(s, 1000);
-	fg_slots_used(s, 5000, key("a1"));
-	fg_slots_used(s, 4950, key("a3"));
-	fg_slots_want(s, 5000, MODEL, "a4", 0);
+	fg_slots_mark_used(s, 5000, key("a1"));
+	fg_slots_mark_used(s, 4950, key("a3"));
+	fg_slots_request_load(s, 5000, MODEL, "a4", 0);
 	step = fg_slots_next(s, 5000, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_UNLOAD);
 	g_assert_cmpstr(step.adapter, ==, "a2");
 	/* While it waits for its runs, no load begins. */
-	fg_slots_ordered(s, 5000, FG_ORDER_ACCEPTED);
+	fg_slots_handle_result(s, 5000, FG_ORDER_ACCEPTED);
 	step = fg_slots_next(s, 5001, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_NOTHING);
 	step = fg_slots_next(s, 5100, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_UNLOAD);
-	fg_slots_ordered(s, 5100, FG_ORDER_HOLDS);
+	fg_slots_handle_result(s, 5100, FG_ORDER_HOLDS);
 	step = fg_slots_next(s, 5100, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
 	g_assert_cmpstr(step.adapter, ==, "a4");
@@ -206,10 +206,10 @@
 		char name[8];
 
 		g_snprintf(name, sizeof(name), "a%u", i);
-		fg_slots_used(s, 2000, key(name));
+		fg_slots_mark_used(s, 2000, key(name));
 	}
-	g_assert_cmpuint(fg_slots_spare_age(s, 2000), ==, 0);
-	fg_slots_want(s, 2000, MODEL, "a4", 0);
+	g_assert_cmpuint(fg_slots_spare_age_ms(s, 2000), ==, 0);
+	fg_slots_request_load(s, 2000, MODEL, "a4", 0);
 	g_assert_cmpint(fg_slots_next(s, 2000, true).act, ==, FG_SLOTS_NOTHING);
 	fg_slots_free(s);
 }
@@ -222,15 +222,15 @@
 
 	sync_empty(s, 1000, 0);
 	fill(s, 1000);
-	g_assert_cmpuint(fg_slots_held(s, held), ==, SLOTS + 1);
-	fg_slots_announced(s, key("a2"), 5);
-	g_assert_cmpuint(fg_slots_held(s, held), ==, SLOTS);
+	g_assert_cmpuint(fg_slots_list_resident(s, held), ==, SLOTS + 1);
+	fg_slots_announce_version(s, key("a2"), 5);
+	g_assert_cmpuint(fg_slots_list_resident(s, held), ==, SLOTS);
 	step = fg_slots_next(s, 1100, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
 	g_assert_cmpstr(step.adapter, ==, "a2");
 	g_assert_cmpuint(step.version, ==, 5);
-	fg_slots_ordered(s, 1100, FG_ORDER_HOLDS);
-	g_assert_cmpuint(fg_slots_held(s, held), ==, SLOTS + 1);
+	fg_slots_handle_result(s, 1100, FG_ORDER_HOLDS);
+	g_assert_cmpuint(fg_slots_list_resident(s, held), ==, SLOTS + 1);
 	g_assert_cmpint(fg_slots_next(s, 1101, true).act, ==, FG_SLOTS_NOTHING);
 	fg_slots_free(s);
 }
@@ -243,18 +243,18 @@
 	struct fg_slots_step step;
 
 	sync_empty(s, 1000, 0);
-	fg_slots_want(s, 1000, MODEL, "a1", 0);
+	fg_slots_request_load(s, 1000, MODEL, "a1", 0);
 	fg_slots_next(s, 1000, true);
-	fg_slots_ordered(s, 1000, FG_ORDER_CONFLICT);
+	fg_slots_handle_result(s, 1000, FG_ORDER_CONFLICT);
 	g_assert_cmpint(fg_slots_next(s, 1000, true).act, ==, FG_SLOTS_REPORT);
-	fg_slots_reported(s, 1001, &report);
+	fg_slots_handle_report(s, 1001, &report);
 	step = fg_slots_next(s, 1002, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_NOTHING);
-	step = fg_slots_next(s, step.wake, true);
+	step = fg_slots_next(s, step.wake_at, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_REPORT);
 	report.sequence = 1;
-	fg_slots_reported(s, 1200, &report);
-	fg_slots_want(s, 1200, MODEL, "a1", 0);
+	fg_slots_handle_report(s, 1200, &report);
+	fg_slots_request_load(s, 1200, MODEL, "a1", 0);
 	step = fg_slots_next(s, 1200, true);
 	g_assert_cmpuint(step.expected_sequence, ==, 1);
 	fg_slots_free(s);
@@ -266,10 +266,10 @@
 	struct fg_slots_step step;
 
 	sync_empty(s, 1000, 0);
-	fg_slots_want(s, 1000, MODEL, "old", 0);
+	fg_slots_request_load(s, 1000, MODEL, "old", 0);
 	for (fg_ms now = 1100; now < 2000; now += 100)
-		fg_slots_want(s, now, MODEL, "old", 0);
-	fg_slots_want(s, 2000, MODEL, "young", 0);
+		fg_slots_request_load(s, now, MODEL, "old", 0);
+	fg_slots_request_load(s, 2000, MODEL, "young", 0);
 	g_assert_cmpint(fg_slots_next(s, 2000, false).act, ==,
 			FG_SLOTS_NOTHING);
 	step = fg_slots_next(s, 2000, true);
@@ -361,15 +361,15 @@
 			g_strlcpy(e->late[e->n_late++].adapter, adapter,
 				  sizeof(e->late[0].adapter));
 		}
-		fg_slots_ordered(s, now, FG_ORDER_UNKNOWN);
+		fg_slots_handle_result(s, now, FG_ORDER_UNKNOWN);
 		break;
 	case 1: /* done, answer lost */
 		order(e, load, adapter, step->expected_sequence);
-		fg_slots_ordered(s, now, FG_ORDER_UNKNOWN);
+		fg_slots_handle_result(s, now, FG_ORDER_UNKNOWN);
 		break;
 	default:
 		result = order(e, load, adapter, step->expected_sequence);
-		fg_slots_ordered(s, now, result);
+		fg_slots_handle_result(s, now, result);
 	}
 }
 
@@ -392,13 +392,14 @@
 		g_snprintf(name, sizeof(name), "a%u",
 			   (unsigned int)fg_rand_below(&rand, 8));
 		if (now % 100 == 0)
-			residents += fg_slots_want(s, now, MODEL, name, 0) ==
-						     FG_SLOT_RESIDENT
-					     ? 1
-					     : 0;
+			residents +=
+				fg_slots_request_load(s, now, MODEL, name, 0) ==
+						FG_SLOT_RESIDENT
+					? 1
+					: 0;
 		step = fg_slots_next(s, now, true);
 		if (step.act == FG_SLOTS_REPORT)
-			fg_slots_reported(
+			fg_slots_handle_report(
 				s, now,
 				fg_rand_below(&rand, 5) == 0 ? NULL : &e.old);
 		else if (step.act != FG_SLOTS_NOTHING)
@@ -422,22 +423,22 @@
 	struct fg_loadgate g;
 
 	fg_loadgate_init(&g, 250);
-	g_assert_true(fg_loadgate_open(&g, 1));
-	g_assert_false(fg_loadgate_open(&g, 2));
+	g_assert_true(fg_loadgate_is_open(&g, 1));
+	g_assert_false(fg_loadgate_is_open(&g, 2));
 	for (int i = 0; i < 40; i++)
-		fg_loadgate_ended(&g, 260, 8);
-	g_assert_true(fg_loadgate_open(&g, 4));
+		fg_loadgate_record_load(&g, 260, 8);
+	g_assert_true(fg_loadgate_is_open(&g, 4));
 	for (int i = 0; i < 20; i++)
-		fg_loadgate_ended(&g, 900, 8);
-	g_assert_true(fg_loadgate_open(&g, 0));
-	g_assert_false(fg_loadgate_open(&g, 1));
+		fg_loadgate_record_load(&g, 900, 8);
+	g_assert_true(fg_loadgate_is_open(&g, 0));
+	g_assert_false(fg_loadgate_is_open(&g, 1));
 	g_assert_cmpuint(fg_loadgate_wait_ms(&g, 0, 0), ==, 0);
 	g_assert_cmpuint(fg_loadgate_wait_ms(&g, 1, 2), >, 1500);
 	/* Loads that were few do not widen it. */
 	fg_loadgate_init(&g, 250);
 	for (int i = 0; i < 20; i++)
-		fg_loadgate_ended(&g, 250, 0);
-	g_assert_false(fg_loadgate_open(&g, 2));
+		fg_loadgate_record_load(&g, 250, 0);
+	g_assert_false(fg_loadgate_is_open(&g, 2));
 }
 
 int main(int argc, char **argv)
