--- a/lib/grant/fg_grant.c
+++ b/lib/grant/fg_grant.c
@@ -178,18 +178,17 @@
 	return best;
 }
 
-double fg_grants_keep(void *arg, fg_av av)
+double fg_grants_score_keep(void *arg, fg_av av)
 {
 	(void)arg;
 	(void)av;
 	return INFINITY;
 }
 
-enum fg_load_start fg_grants_load_start(struct fg_grants *g, fg_ms now,
-					fg_av av, fg_av prefer,
-					double (*score)(void *arg, fg_av av),
-					void *arg, uint32_t *slot,
-					fg_av *victim)
+enum fg_load_start_result
+fg_grants_start_load(struct fg_grants *g, fg_ms now, fg_av av, fg_av prefer,
+		     double (*score)(void *arg, fg_av av), void *arg,
+		     uint32_t *slot, fg_av *victim)
 {
 	struct fg_slot *s;
 	int32_t i;
@@ -197,7 +196,7 @@
 	assert(!fg_av_none(av));
 	if (g->leaving || g->engine_leaving || g->fenced)
 		return FG_LOAD_START_LEAVING;
-	if (fg_grants_recovering(g, now))
+	if (fg_grants_is_recovering(g, now))
 		return FG_LOAD_START_RECOVERING;
 	if (fg_grants_find(g, av, FG_SLOT_READY) >= 0 ||
 	    fg_grants_find(g, av, FG_SLOT_LOADING) >= 0)
@@ -231,8 +230,8 @@
 	s->taint_until = until;
 }
 
-void fg_grants_load_done(struct fg_grants *g, fg_ms now, uint32_t slot,
-			 enum fg_order_status status, uint32_t life_ms)
+void fg_grants_finish_load(struct fg_grants *g, fg_ms now, uint32_t slot,
+			   enum fg_order_status status, uint32_t life_ms)
 {
 	struct fg_slot *s;
 
@@ -265,7 +264,7 @@
 
 /* ---- Reading ---- */
 
-void fg_grants_leave(struct fg_grants *g)
+void fg_grants_set_leaving(struct fg_grants *g)
 {
 	if (g->leaving)
 		return;
@@ -283,12 +282,13 @@
 	return g_hash_table_size(g->held_by_key);
 }
 
-uint32_t fg_grants_slots(const struct fg_grants *g)
+uint32_t fg_grants_slot_count(const struct fg_grants *g)
 {
 	return g->conf.slots;
 }
 
-struct fg_slot_view fg_grants_slot(const struct fg_grants *g, uint32_t slot)
+struct fg_slot_view fg_grants_view_slot(const struct fg_grants *g,
+					uint32_t slot)
 {
 	const struct fg_slot *s;
 	struct fg_slot_view view = { 0 };
@@ -303,12 +303,12 @@
 	return view;
 }
 
-bool fg_grants_has(const struct fg_grants *g, fg_av av)
+bool fg_grants_has_adapter(const struct fg_grants *g, fg_av av)
 {
 	return fg_grants_find(g, av, FG_SLOT_READY) >= 0;
 }
 
-void fg_grants_resident(const struct fg_grants *g, fg_resident *out)
+void fg_grants_fill_resident(const struct fg_grants *g, fg_resident *out)
 {
 	fg_av av[FG_SLOTS_MAX];
 	size_t n = 0;
@@ -327,7 +327,7 @@
 	fg_msg_set_avs(out, av, n);
 }
 
-bool fg_grants_changed(struct fg_grants *g)
+bool fg_grants_take_changed(struct fg_grants *g)
 {
 	bool changed = g->changed;
 
--- a/lib/grant/fg_grant_ask.c
+++ b/lib/grant/fg_grant_ask.c
@@ -129,7 +129,7 @@
 }
 
 static uint64_t give(struct fg_grants *g, fg_ms now,
-		     const struct fg_grant_ask *ask, fg_ms deadline,
+		     const struct fg_grant_request *ask, fg_ms deadline,
 		     int32_t slot)
 {
 	struct fg_grant_rec *rec = g_new0(struct fg_grant_rec, 1);
@@ -137,7 +137,7 @@
 
 	assert(s->state == FG_SLOT_READY && fg_av_equal(s->av, ask->av));
 	rec->id = new_id(g);
-	rec->key = (struct fg_req_key){ ask->holder, ask->req };
+	rec->key = (struct fg_req_key){ ask->holder, ask->req_id };
 	rec->av = ask->av;
 	rec->slot = FG_SLOT_NOT_KNOWN;
 	rec->deadline = hard_deadline(g, now, deadline);
@@ -159,7 +159,7 @@
 }
 
 static fg_grant_status hold(struct fg_grants *g, fg_ms now,
-			    const struct fg_grant_ask *ask)
+			    const struct fg_grant_request *ask)
 {
 	struct fg_held *held;
 	GQueue *queue = &g->held[ask->cls];
@@ -167,7 +167,7 @@
 	if (fg_grants_held(g) >= g->conf.queue_max)
 		return FG_GRANT_OVERLOAD;
 	held = g_new0(struct fg_held, 1);
-	held->key = (struct fg_req_key){ ask->holder, ask->req };
+	held->key = (struct fg_req_key){ ask->holder, ask->req_id };
 	held->ask = *ask;
 	held->deadline = now + ask->budget_ms;
 	held->hold_until = now + ask->hold_ms;
@@ -195,7 +195,7 @@
 		for (GList *l = g->held[c].head; l != NULL; l = l->next) {
 			const struct fg_held *held = l->data;
 
-			if (fg_grants_has(g, held->ask.av))
+			if (fg_grants_has_adapter(g, held->ask.av))
 				return true;
 		}
 	}
@@ -215,10 +215,10 @@
 }
 
 fg_grant_status fg_grants_request(struct fg_grants *g, fg_ms now,
-				  const struct fg_grant_ask *ask,
+				  const struct fg_grant_request *ask,
 				  uint64_t *grant)
 {
-	struct fg_req_key key = { ask->holder, ask->req };
+	struct fg_req_key key = { ask->holder, ask->req_id };
 	const struct fg_grant_rec *rec = g_hash_table_lookup(g->by_key, &key);
 	fg_grant_status status;
 	int32_t slot;
@@ -261,7 +261,7 @@
 	fg_grants_remember(g, now, (struct fg_req_key){ 0, grant });
 }
 
-void fg_grants_unseen(struct fg_grants *g, fg_ms now, uint64_t grant)
+void fg_grants_mark_orphaned(struct fg_grants *g, fg_ms now, uint64_t grant)
 {
 	const struct fg_grant_rec *rec = g_hash_table_lookup(g->grants, &grant);
 
@@ -285,7 +285,7 @@
 }
 
 struct answer {
-	struct fg_grant_ask ask;
+	struct fg_grant_request ask;
 	fg_grant_status status;
 	uint64_t grant;
 };
@@ -345,7 +345,7 @@
 			const struct fg_held *held = l->data;
 
 			if (held->hold_until <= now &&
-			    fg_grants_has(g, held->ask.av))
+			    fg_grants_has_adapter(g, held->ask.av))
 				return true;
 		}
 	}
@@ -380,8 +380,8 @@
 	g_ptr_array_free(due, TRUE);
 }
 
-void fg_grants_pump(struct fg_grants *g, fg_ms now, fg_grants_reply reply,
-		    void *arg)
+void fg_grants_serve_held(struct fg_grants *g, fg_ms now, fg_grants_reply reply,
+			  void *arg)
 {
 	GArray *answers;
 	bool start;
@@ -405,7 +405,7 @@
 	g_array_free(answers, TRUE);
 }
 
-void fg_grants_holder_dead(struct fg_grants *g, fg_ms now, uint64_t holder)
+void fg_grants_on_holder_dead(struct fg_grants *g, fg_ms now, uint64_t holder)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -430,5 +430,5 @@
 		rec->dead = true;
 		rec->dead_at = now;
 	}
-	fg_grants_peer_gone(g, now, holder);
+	fg_grants_on_peer_gone(g, now, holder);
 }
--- a/lib/grant/fg_grant_priv.h
+++ b/lib/grant/fg_grant_priv.h
@@ -59,7 +59,7 @@
 
 struct fg_held {
 	struct fg_req_key key;
-	struct fg_grant_ask ask;
+	struct fg_grant_request ask;
 	fg_ms deadline;
 	fg_ms hold_until; /* for a batch to join */
 };
@@ -81,7 +81,7 @@
 	GHashTable *ended;	 /* key -> fg_ended, owns */
 	GQueue ended_fifo;	 /* fg_ended, borrowed, oldest first */
 
-	bool leaving;	     /* told by fg_grants_leave() */
+	bool leaving;	     /* told by fg_grants_set_leaving() */
 	bool engine_leaving; /* said by the engine */
 	bool fenced;	     /* the engine has seen a higher fence */
 	bool checks_fence;
@@ -92,7 +92,7 @@
 	fg_ms last_asked;
 
 	bool recovering;
-	bool expected; /* fg_grants_expect() was called */
+	bool expected; /* fg_grants_await_peers() was called */
 	fg_ms recover_end;
 	GHashTable *peers; /* ids that have yet to tell their grants */
 
--- a/lib/grant/fg_grant_recover.c
+++ b/lib/grant/fg_grant_recover.c
@@ -5,7 +5,7 @@
 
 /* ---- Recovery ---- */
 
-bool fg_grants_recovering(const struct fg_grants *g, fg_ms now)
+bool fg_grants_is_recovering(const struct fg_grants *g, fg_ms now)
 {
 	if (!g->recovering)
 		return false;
@@ -18,11 +18,11 @@
 
 void fg_grants_check_recovery(struct fg_grants *g, fg_ms now)
 {
-	if (g->recovering && !fg_grants_recovering(g, now))
+	if (g->recovering && !fg_grants_is_recovering(g, now))
 		g->recovering = false;
 }
 
-bool fg_grants_fence_wanted(const struct fg_grants *g)
+bool fg_grants_needs_fence(const struct fg_grants *g)
 {
 	return g->checks_fence && g->seen_fence < g->conf.fence;
 }
@@ -33,10 +33,10 @@
 		return false;
 	/* An order of the last owner passes until the engine knows our fence,
 	 * or until the order is too old to arrive. */
-	return !fg_grants_fence_wanted(g) || now >= g->recover_end;
+	return !fg_grants_needs_fence(g) || now >= g->recover_end;
 }
 
-void fg_grants_expect(struct fg_grants *g, const uint64_t *peers, size_t n)
+void fg_grants_await_peers(struct fg_grants *g, const uint64_t *peers, size_t n)
 {
 	g->expected = true;
 	for (size_t i = 0; i < n; i++)
@@ -44,7 +44,8 @@
 				 g_memdup2(&peers[i], sizeof(*peers)));
 }
 
-size_t fg_grants_awaited(const struct fg_grants *g, uint64_t *ids, size_t max)
+size_t fg_grants_awaited_peers(const struct fg_grants *g, uint64_t *ids,
+			       size_t max)
 {
 	GHashTableIter it;
 	gpointer id;
@@ -56,7 +57,7 @@
 	return n;
 }
 
-void fg_grants_peer_gone(struct fg_grants *g, fg_ms now, uint64_t peer)
+void fg_grants_on_peer_gone(struct fg_grants *g, fg_ms now, uint64_t peer)
 {
 	if (g_hash_table_remove(g->peers, &peer))
 		fg_grants_expect_strays(g, now);
@@ -106,8 +107,8 @@
 		rec->slot = FG_SLOT_GONE;
 }
 
-void fg_grants_told(struct fg_grants *g, fg_ms now, uint64_t peer,
-		    const fg_grant_info *infos, size_t n)
+void fg_grants_on_peer_grants(struct fg_grants *g, fg_ms now, uint64_t peer,
+			      const fg_grant_info *infos, size_t n)
 {
 	for (size_t i = 0; i < n; i++)
 		add_told(g, now, peer, &infos[i]);
@@ -115,8 +116,8 @@
 	fg_grants_check_recovery(g, now);
 }
 
-void fg_grants_taint(struct fg_grants *g, fg_ms now,
-		     const struct fg_intent *intents, size_t n)
+void fg_grants_taint_slots(struct fg_grants *g, fg_ms now,
+			   const struct fg_intent *intents, size_t n)
 {
 	uint64_t newest[FG_SLOTS_MAX] = { 0 };
 
@@ -305,11 +306,11 @@
 	}
 }
 
-bool fg_grants_engine(struct fg_grants *g, fg_ms now, fg_ms asked_at,
-		      const struct fg_engine_state *st,
-		      fg_av (*find)(void *arg, const char *adapter,
-				    const char *version),
-		      void *arg)
+bool fg_grants_on_engine_state(struct fg_grants *g, fg_ms now, fg_ms asked_at,
+			       const struct fg_engine_state *st,
+			       fg_av (*find)(void *arg, const char *adapter,
+					     const char *version),
+			       void *arg)
 {
 	bool restarted = g->epoch != 0 && st->epoch != g->epoch;
 
--- a/lib/node/fg_node_address.c
+++ b/lib/node/fg_node_address.c
@@ -44,7 +44,7 @@
 
 	if (at == NULL || at->leaving)
 		return;
-	fg_owner_find(list->n->owner, ep, &owner, NULL);
+	fg_owner_get_state(list->n->owner, ep, &owner, NULL);
 	if (owner != 0)
 		add(list, owner);
 }
@@ -55,7 +55,7 @@
 	fg_av av = fg_config_find(list->n->config, adapter, NULL);
 
 	if (!fg_av_none(av))
-		fg_dir_each(list->n->dir, av, add_owner, list);
+		fg_dir_for_each_holder(list->n->dir, av, add_owner, list);
 }
 
 /* Others of the region, in an order that differs between keys, so that
--- a/lib/node/fg_node_broker.c
+++ b/lib/node/fg_node_broker.c
@@ -36,7 +36,8 @@
 	g_strlcpy(conf.region, m->region, sizeof(conf.region));
 	broker = fg_broker_new(&conf, n->dir, n->conf.place_policy,
 			       fg_rand_next(&n->rand));
-	fg_broker_set_hold(broker, fg_config_preset(n->config)->hold_max_ms);
+	fg_broker_set_hold_max(broker,
+			       fg_config_preset(n->config)->hold_max_ms);
 	return broker;
 }
 
@@ -93,7 +94,7 @@
 	g_clear_pointer(&m->fallback, fg_broker_free);
 	m->broker_key = key;
 	if (strcmp(m->region, n->conf.member.self.region) == 0)
-		fg_owner_want(n->owner, key, m->region, "", false);
+		fg_owner_set_key(n->owner, key, m->region, "", false);
 }
 
 struct fg_model *fg_model_get(struct fg_node *n, const char *service)
@@ -154,9 +155,9 @@
 static void set_facts(struct fg_broker *b, const struct fg_service *facts,
 		      const struct fg_preset *preset)
 {
-	fg_broker_set(b, facts->loads_per_s, facts->loads_in_flight,
-		      facts->load_ms, preset->stall_weight);
-	fg_broker_set_hold(b, preset->hold_max_ms);
+	fg_broker_set_limits(b, facts->loads_per_s, facts->loads_in_flight,
+			     facts->load_ms, preset->stall_weight);
+	fg_broker_set_hold_max(b, preset->hold_max_ms);
 }
 
 void fg_models_config(struct fg_node *n)
@@ -187,7 +188,7 @@
 		struct fg_model *m = value;
 
 		if (m->broker != NULL)
-			fg_broker_router_gone(m->broker, id);
+			fg_broker_on_router_gone(m->broker, id);
 	}
 }
 
@@ -198,7 +199,7 @@
 	const struct fg_peer_view *peer;
 	uint64_t owner = 0;
 
-	fg_owner_find(n->owner, m->broker_key, &owner, NULL);
+	fg_owner_get_state(n->owner, m->broker_key, &owner, NULL);
 	if (owner == n->self)
 		return m->broker != NULL ? owner : 0;
 	peer = fg_member_find(n->member, owner);
@@ -223,7 +224,7 @@
 	/* No broker is known: load within this instance's share. */
 	if (m->fallback == NULL)
 		m->fallback = make_broker(n, m, 0, budget_share(n));
-	fg_broker_need(m->fallback, n->now, from, need);
+	fg_broker_on_need(m->fallback, n->now, from, need);
 }
 
 static struct fg_model *model_of_av(struct fg_node *n, fg_av av)
@@ -239,7 +240,7 @@
 
 	if (m == NULL || m->broker == NULL)
 		return;
-	fg_broker_need(m->broker, n->now, from, need);
+	fg_broker_on_need(m->broker, n->now, from, need);
 }
 
 /* ---- Heat ---- */
@@ -296,7 +297,8 @@
 	if (broker != 0)
 		fg_node_send(n, broker, msg);
 	else if (m->fallback != NULL)
-		fg_broker_heat(m->fallback, n->now, &msg->body.fg_body_u.heat);
+		fg_broker_on_heat(m->fallback, n->now,
+				  &msg->body.fg_body_u.heat);
 	fg_msg_free(msg);
 }
 
@@ -308,7 +310,7 @@
 		return;
 	m = model_of_av(n, heat->items.items_val[0].av);
 	if (m != NULL && m->broker != NULL)
-		fg_broker_heat(m->broker, n->now, heat);
+		fg_broker_on_heat(m->broker, n->now, heat);
 }
 
 /* ---- Orders ---- */
@@ -328,7 +330,7 @@
 		.status = FG_PLACE_REFUSED,
 	};
 
-	fg_broker_reply(broker, now, &rep);
+	fg_broker_on_reply(broker, now, &rep);
 }
 
 static void emit_place(void *arg, const fg_place *place)
@@ -337,7 +339,7 @@
 	uint64_t owner = 0;
 	fg_msg *msg;
 
-	fg_owner_find(e->n->owner, place->ep, &owner, NULL);
+	fg_owner_get_state(e->n->owner, place->ep, &owner, NULL);
 	if (owner == 0) {
 		refuse_place(e->broker, e->n->now, place);
 		return;
@@ -369,9 +371,9 @@
 	if (m == NULL)
 		return;
 	if (m->broker != NULL)
-		fg_broker_reply(m->broker, n->now, rep);
+		fg_broker_on_reply(m->broker, n->now, rep);
 	if (m->fallback != NULL)
-		fg_broker_reply(m->fallback, n->now, rep);
+		fg_broker_on_reply(m->fallback, n->now, rep);
 }
 
 static void tick_broker(struct fg_node *n, struct fg_broker *broker)
@@ -380,7 +382,7 @@
 
 	if (broker == NULL || !fg_node_may_serve(n))
 		return;
-	fg_broker_refusals(broker, n->now, emit_refusal, &e);
+	fg_broker_refuse_needs(broker, n->now, emit_refusal, &e);
 	fg_broker_tick(broker, n->now, emit_place, &e);
 }
 
--- a/lib/node/fg_node_dump.c
+++ b/lib/node/fg_node_dump.c
@@ -39,7 +39,7 @@
 		[FG_SLOT_READY] = "ready",
 		[FG_SLOT_TAINTED] = "tainted",
 	};
-	struct fg_slot_view v = fg_grants_slot(own->grants, slot);
+	struct fg_slot_view v = fg_grants_view_slot(own->grants, slot);
 	const char *adapter = fg_config_adapter_name(n->config, v.av);
 	const char *ver = fg_config_version_name(n->config, v.av);
 
@@ -54,7 +54,7 @@
 	json_t *slots = json_array();
 
 	if (own->grants != NULL) {
-		for (uint32_t i = 0; i < fg_grants_slots(own->grants); i++)
+		for (uint32_t i = 0; i < fg_grants_slot_count(own->grants); i++)
 			json_array_append_new(slots, dump_slot(n, own, i));
 		json_object_set_new(
 			out, "grants",
@@ -62,7 +62,7 @@
 		json_object_set_new(out, "held",
 				    json_integer(fg_grants_held(own->grants)));
 		json_object_set_new(out, "recovering",
-				    json_boolean(fg_grants_recovering(
+				    json_boolean(fg_grants_is_recovering(
 					    own->grants, n->now)));
 	}
 	json_object_set_new(out, "slots", slots);
@@ -92,7 +92,7 @@
 		uint64_t owner = 0;
 		uint64_t fence = 0;
 
-		fg_owner_find(n->owner, ep->id, &owner, &fence);
+		fg_owner_get_state(n->owner, ep->id, &owner, &fence);
 		json_array_append_new(
 			all,
 			json_pack("{s:s,s:s,s:s,s:s,s:b,s:i,s:s,s:I}", "name",
@@ -158,7 +158,7 @@
 		const struct fg_model *m = value;
 		uint64_t owner = 0;
 
-		fg_owner_find(n->owner, m->broker_key, &owner, NULL);
+		fg_owner_get_state(n->owner, m->broker_key, &owner, NULL);
 		json_object_set_new(
 			out, m->service,
 			json_pack("{s:s,s:s,s:o,s:o}", "region", m->region,
--- a/lib/node/fg_node_eps.c
+++ b/lib/node/fg_node_eps.c
@@ -29,10 +29,10 @@
 {
 	if (ep->info.kind != FG_LISTED_ENGINE)
 		return;
-	fg_dir_endpoint(n->dir, ep->id, ep->info.service, ep->info.region,
-			ep->info.dc, ep->leaving);
-	fg_owner_want(n->owner, ep->id, ep->info.region, ep->info.dc,
-		      ep->leaving);
+	fg_dir_set_endpoint(n->dir, ep->id, ep->info.service, ep->info.region,
+			    ep->info.dc, ep->leaving);
+	fg_owner_set_key(n->owner, ep->id, ep->info.region, ep->info.dc,
+			 ep->leaving);
 }
 
 void fg_ep_leaving(struct fg_node *n, struct fg_ep *ep, bool tell)
@@ -80,8 +80,8 @@
 	(void)key;
 	if (n->now - ep->listed_at < FG_EP_GONE_MS || ep->sent > 0)
 		return false;
-	fg_dir_drop(n->dir, ep->id);
-	fg_owner_drop(n->owner, n->now, ep->id, fg_wire_owner, n);
+	fg_dir_remove_endpoint(n->dir, ep->id);
+	fg_owner_remove_key(n->owner, n->now, ep->id, fg_wire_owner, n);
 	return true;
 }
 
--- a/lib/node/fg_node_load.c
+++ b/lib/node/fg_node_load.c
@@ -64,8 +64,8 @@
 		.life_ms = n->conf.order_timeout_ms,
 	};
 
-	fg_owner_intent(n->owner, n->now, own->ep->id, &intent, fg_wire_owner,
-			n);
+	fg_owner_store_intent(n->owner, n->now, own->ep->id, &intent,
+			      fg_wire_owner, n);
 }
 
 static void start_load(struct fg_node *n, struct fg_own *own, uint64_t from,
@@ -92,14 +92,14 @@
 void fg_own_place(struct fg_node *n, uint64_t from, const fg_place *place)
 {
 	struct fg_own *own = fg_own_of(n, place->ep);
-	enum fg_load_start start = FG_LOAD_START_RECOVERING;
+	enum fg_load_start_result start = FG_LOAD_START_RECOVERING;
 	fg_av victim = { 0, 0 };
 	uint32_t slot = 0;
 
 	if (own != NULL && own->grants != NULL && fg_own_may_act(n, own))
-		start = fg_grants_load_start(own->grants, n->now, place->av,
-					     place->victim, fg_grants_keep,
-					     NULL, &slot, &victim);
+		start = fg_grants_start_load(
+			own->grants, n->now, place->av, place->victim,
+			fg_grants_score_keep, NULL, &slot, &victim);
 	if (start == FG_LOAD_START_OK) {
 		reply_place(n, from, place->order, place->ep, place->av,
 			    FG_PLACE_STARTED);
@@ -155,10 +155,10 @@
 {
 	bool done = status == FG_ORDER_DONE;
 
-	fg_grants_load_done(own->grants, n->now, load->slot, status,
-			    n->conf.order_timeout_ms);
+	fg_grants_finish_load(own->grants, n->now, load->slot, status,
+			      n->conf.order_timeout_ms);
 	if (!own->checks_fence && status != FG_ORDER_LOST)
-		fg_owner_intent_done(n->owner, own->ep->id, load->order_id);
+		fg_owner_remove_intent(n->owner, own->ep->id, load->order_id);
 	if (!done) {
 		fg_node_count(n, FG_NC_LOADS_FAILED, 1);
 		own->state_next = n->now + STATE_SOON_MS;
--- a/lib/node/fg_node_msg.c
+++ b/lib/node/fg_node_msg.c
@@ -5,7 +5,7 @@
 {
 	struct fg_ep *ep = fg_ep_find(n, r->ep);
 
-	if (!fg_dir_resident(n->dir, n->now, r))
+	if (!fg_dir_on_resident(n->dir, n->now, r))
 		return;
 	if (r->leaving && ep != NULL)
 		fg_ep_leaving(n, ep, false);
@@ -88,9 +88,9 @@
 		take_leaving(n, &b->fg_body_u.leaving);
 		break;
 	case FG_MSG_OWNED:
-		fg_owner_hint(n->owner, n->now, b->fg_body_u.owned.ep,
-			      b->fg_body_u.owned.owner,
-			      b->fg_body_u.owned.fence, fg_wire_owner, n);
+		fg_owner_on_hint(n->owner, n->now, b->fg_body_u.owned.ep,
+				 b->fg_body_u.owned.owner,
+				 b->fg_body_u.owned.fence, fg_wire_owner, n);
 		break;
 	}
 }
--- a/lib/node/fg_node_own.c
+++ b/lib/node/fg_node_own.c
@@ -37,7 +37,7 @@
 static void ask_grants(struct fg_node *n, struct fg_own *own)
 {
 	uint64_t ids[PEERS_MAX];
-	size_t peers = fg_grants_awaited(own->grants, ids, PEERS_MAX);
+	size_t peers = fg_grants_awaited_peers(own->grants, ids, PEERS_MAX);
 	fg_msg *msg;
 
 	own->ask_next = n->now + ASK_REPEAT_MS;
@@ -58,7 +58,7 @@
 
 	/* This instance's own grants count like those of any other. */
 	ids[peers++] = n->self;
-	fg_grants_expect(own->grants, ids, peers);
+	fg_grants_await_peers(own->grants, ids, peers);
 	ask_grants(n, own);
 }
 
@@ -106,7 +106,7 @@
 {
 	(void)n;
 	if (own->grants != NULL)
-		fg_grants_leave(own->grants);
+		fg_grants_set_leaving(own->grants);
 }
 
 /* ---- The engine's state ---- */
@@ -132,11 +132,11 @@
 	own->checks_fence = st->checks_fence;
 	own->grants = fg_grants_new(&conf, n->now, true);
 	if (!st->checks_fence)
-		fg_grants_taint(own->grants, n->now, own->intents,
-				own->n_intents);
+		fg_grants_taint_slots(own->grants, n->now, own->intents,
+				      own->n_intents);
 	expect_grants(n, own);
 	if (own->ep->leaving)
-		fg_grants_leave(own->grants);
+		fg_grants_set_leaving(own->grants);
 }
 
 /* Orders of the last owner pass until the engine has seen our fence. */
@@ -151,7 +151,7 @@
 		},
 	};
 
-	if (own->role_order != 0 || !fg_grants_fence_wanted(own->grants) ||
+	if (own->role_order != 0 || !fg_grants_needs_fence(own->grants) ||
 	    !fg_own_may_act(n, own))
 		return;
 	own->role_order = fg_own_order_id(n, own);
@@ -183,8 +183,8 @@
 		first_state(n, own, st);
 	if (n->conf.switches.no_fence)
 		seen.checks_fence = false;
-	if (fg_grants_engine(own->grants, now, asked_at, &seen, find_av,
-			     n->config))
+	if (fg_grants_on_engine_state(own->grants, now, asked_at, &seen,
+				      find_av, n->config))
 		fg_node_event(n, "engine_restarted",
 			      json_pack("{s:s}", "ep", own->ep->info.name));
 	raise_fence(n, own);
@@ -194,19 +194,19 @@
 /* ---- Grants ---- */
 
 static void reply_grant(struct fg_node *n, const struct fg_own *own,
-			const struct fg_grant_ask *ask, uint64_t ep,
+			const struct fg_grant_request *ask, uint64_t ep,
 			fg_grant_status status, uint64_t grant)
 {
 	fg_msg *msg = fg_msg_new(FG_MSG_GRANT_REP);
 	fg_grant_rep *rep = &msg->body.fg_body_u.grant_rep;
 
-	rep->req = ask->req;
+	rep->req = ask->req_id;
 	rep->ep = ep;
 	rep->status = status;
 	rep->grant = grant;
 	rep->fence = own != NULL ? own->fence : 0;
 	if (own == NULL)
-		fg_owner_find(n->owner, ep, &rep->owner, &rep->fence);
+		fg_owner_get_state(n->owner, ep, &rep->owner, &rep->fence);
 	if (status == FG_GRANT_OK) {
 		fg_node_count(n, FG_NC_GRANTS_GIVEN, 1);
 		fg_node_event(n, "grant",
@@ -225,9 +225,9 @@
 void fg_own_grant_req(struct fg_node *n, uint64_t from, const fg_grant_req *req)
 {
 	struct fg_own *own = fg_own_of(n, req->ep);
-	struct fg_grant_ask ask = {
+	struct fg_grant_request ask = {
 		.holder = from,
-		.req = req->req,
+		.req_id = req->req,
 		.av = req->av,
 		.cls = (enum fg_class)req->cls,
 		.budget_ms = req->budget_ms,
@@ -257,7 +257,7 @@
 	if (own == NULL || own->grants == NULL)
 		return;
 	if (rel->crashed) {
-		fg_grants_unseen(own->grants, n->now, rel->grant);
+		fg_grants_mark_orphaned(own->grants, n->now, rel->grant);
 		own->state_next = n->now;
 	}
 	if (rel->grant != 0)
@@ -272,8 +272,9 @@
 
 	if (own == NULL || own->grants == NULL || tell->fence != own->fence)
 		return;
-	fg_grants_told(own->grants, n->now, from, tell->grants.grants_val,
-		       tell->grants.grants_len);
+	fg_grants_on_peer_grants(own->grants, n->now, from,
+				 tell->grants.grants_val,
+				 tell->grants.grants_len);
 }
 
 static void each_own(struct fg_node *n,
@@ -295,8 +296,8 @@
 
 static void peer_dead(struct fg_node *n, struct fg_own *own, uint64_t id)
 {
-	fg_grants_holder_dead(own->grants, n->now, id);
-	fg_grants_peer_gone(own->grants, n->now, id);
+	fg_grants_on_holder_dead(own->grants, n->now, id);
+	fg_grants_on_peer_gone(own->grants, n->now, id);
 }
 
 void fg_own_peer_dead(struct fg_node *n, uint64_t id)
@@ -316,7 +317,7 @@
 	struct fg_own *own;
 };
 
-static void on_pumped(void *arg, const struct fg_grant_ask *ask,
+static void on_pumped(void *arg, const struct fg_grant_request *ask,
 		      fg_grant_status status, uint64_t grant)
 {
 	struct pump_arg *p = arg;
@@ -336,8 +337,8 @@
 		ask_grants(n, own);
 	if (own->grants == NULL || !fg_own_may_act(n, own))
 		return;
-	fg_grants_pump(own->grants, n->now, on_pumped, &p);
-	if (fg_grants_changed(own->grants))
+	fg_grants_serve_held(own->grants, n->now, on_pumped, &p);
+	if (fg_grants_take_changed(own->grants))
 		fg_own_resident(n, own, 0);
 	if (n->now >= own->resident_next)
 		fg_own_repeat_resident(n, own);
--- a/lib/node/fg_node_resident.c
+++ b/lib/node/fg_node_resident.c
@@ -21,7 +21,7 @@
 			  fg_resident *out)
 {
 	if (own->grants != NULL)
-		fg_grants_resident(own->grants, out);
+		fg_grants_fill_resident(own->grants, out);
 	out->ep = own->ep->id;
 	out->fence = own->fence;
 	if (!is_silent(n, own))
--- a/lib/node/fg_node_route.c
+++ b/lib/node/fg_node_route.c
@@ -49,7 +49,7 @@
 static void count_sent(struct fg_node *n, struct fg_req *r, bool sent)
 {
 	if (r->counted != sent)
-		fg_dir_sent(n->dir, r->ep, sent ? 1 : -1);
+		fg_dir_add_own_grants(n->dir, r->ep, sent ? 1 : -1);
 	r->counted = sent;
 }
 
@@ -80,7 +80,7 @@
 	msg->body.fg_body_u.release.service_ms = service_ms;
 	msg->body.fg_body_u.release.crashed = unseen;
 	r->grant = 0;
-	fg_owner_find(n->owner, r->ep, &r->owner, NULL);
+	fg_owner_get_state(n->owner, r->ep, &r->owner, NULL);
 	if (r->owner != 0)
 		fg_node_send_free(n, r->owner, msg);
 	else
@@ -198,7 +198,7 @@
 		fg_req_fail(n, r, FG_NOT_RUN, FG_R_OVERLOAD, RETRY_AFTER_MS);
 		return;
 	}
-	fg_owner_find(n->owner, ep, &owner, NULL);
+	fg_owner_get_state(n->owner, ep, &owner, NULL);
 	if (owner == 0) {
 		fg_route_back_off(n, r, RECOVERING_WAIT_MS);
 		return;
@@ -223,7 +223,7 @@
 
 	if (n->now - r->asked_at < n->conf.grant_repeat_ms)
 		return;
-	fg_owner_find(n->owner, r->ep, &owner, NULL);
+	fg_owner_get_state(n->owner, r->ep, &owner, NULL);
 	if (owner == r->owner) {
 		send_ask(n, r);
 		return;
@@ -250,8 +250,8 @@
 	r->ep = 0;
 	switch (rep->status) {
 	case FG_GRANT_NOT_OWNER:
-		fg_owner_hint(n->owner, n->now, ep, rep->owner, rep->fence,
-			      fg_wire_owner, n);
+		fg_owner_on_hint(n->owner, n->now, ep, rep->owner, rep->fence,
+				 fg_wire_owner, n);
 		fg_route_back_off(n, r, RECOVERING_WAIT_MS);
 		break;
 	case FG_GRANT_NOT_RESIDENT:
@@ -322,12 +322,13 @@
 	bool remote = strcmp(m->region, region) != 0;
 	struct fg_pick pick;
 
-	pick = fg_dir_pick(n->dir, n->now, r->service, r->av, region, remote,
-			   r->avoid, r->n_avoid, r->prefix_hash);
+	pick = fg_dir_pick_endpoint(n->dir, n->now, r->service, r->av, region,
+				    remote, r->avoid, r->n_avoid,
+				    r->prefix_hash);
 	if (pick.resident || r->n_avoid == 0)
 		return pick;
-	return fg_dir_pick(n->dir, n->now, r->service, r->av, region, remote,
-			   NULL, 0, r->prefix_hash);
+	return fg_dir_pick_endpoint(n->dir, n->now, r->service, r->av, region,
+				    remote, NULL, 0, r->prefix_hash);
 }
 
 /* Time until an endpoint that refused a connection is tried again. */
@@ -403,8 +404,8 @@
 
 	tell->ep = ask->ep;
 	tell->fence = ask->fence;
-	fg_owner_hint(n->owner, n->now, ask->ep, from, ask->fence,
-		      fg_wire_owner, n);
+	fg_owner_on_hint(n->owner, n->now, ask->ep, from, ask->fence,
+			 fg_wire_owner, n);
 	g_hash_table_iter_init(&it, n->reqs);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct fg_req *r = value;
--- a/lib/node/fg_node_stop.c
+++ b/lib/node/fg_node_stop.c
@@ -25,7 +25,7 @@
 {
 	size_t mine = 0;
 
-	fg_owner_each_mine(n->owner, count_mine, &mine);
+	fg_owner_for_each_owned(n->owner, count_mine, &mine);
 	return mine == 0 ||
 	       n->now - n->release_begun >= n->conf.member.lease_ms;
 }
--- a/lib/node/fg_node_wire.c
+++ b/lib/node/fg_node_wire.c
@@ -140,7 +140,7 @@
 	const struct fg_preset *preset = fg_config_preset(n->config);
 
 	fg_retry_set_percent(n->retry, preset->retry_percent);
-	fg_dir_set_weight(n->dir, preset->stall_weight);
+	fg_dir_set_stall_weight(n->dir, preset->stall_weight);
 	fg_models_config(n);
 	fg_member_set_revision(n->member, fg_config_revision(n->config),
 			       fg_confsync_confirm_age(n->confsync, n->now));
--- a/lib/owner/fg_owner.c
+++ b/lib/owner/fg_owner.c
@@ -79,8 +79,8 @@
 
 /* ---- Keys ---- */
 
-void fg_owner_want(struct fg_owner *o, uint64_t key, const char *region,
-		   const char *dc, bool leaving)
+void fg_owner_set_key(struct fg_owner *o, uint64_t key, const char *region,
+		      const char *dc, bool leaving)
 {
 	struct fg_own_key *k = fg_owner_key(o, key);
 
@@ -96,8 +96,8 @@
 	k->leaving = leaving;
 }
 
-void fg_owner_drop(struct fg_owner *o, fg_ms now, uint64_t key,
-		   fg_owner_emit emit, void *arg)
+void fg_owner_remove_key(struct fg_owner *o, fg_ms now, uint64_t key,
+			 fg_owner_emit emit, void *arg)
 {
 	struct fg_own_key *k = fg_owner_key(o, key);
 	struct fg_oop oop = { .kind = FG_OOP_DROP };
@@ -117,8 +117,9 @@
 	g_hash_table_remove(o->keys, &key);
 }
 
-void fg_owner_hint(struct fg_owner *o, fg_ms now, uint64_t key, uint64_t owner,
-		   uint64_t fence, fg_owner_emit emit, void *arg)
+void fg_owner_on_hint(struct fg_owner *o, fg_ms now, uint64_t key,
+		      uint64_t owner, uint64_t fence, fg_owner_emit emit,
+		      void *arg)
 {
 	struct fg_own_key *k = fg_owner_key(o, key);
 
@@ -178,8 +179,8 @@
 
 /* ---- Questions ---- */
 
-enum fg_own_state fg_owner_find(const struct fg_owner *o, uint64_t key,
-				uint64_t *owner, uint64_t *fence)
+enum fg_own_state fg_owner_get_state(const struct fg_owner *o, uint64_t key,
+				     uint64_t *owner, uint64_t *fence)
 {
 	const struct fg_own_key *k = fg_owner_key(o, key);
 
@@ -200,9 +201,10 @@
 	return fg_may_act(fg_member_standing(o->member, now));
 }
 
-void fg_owner_each_mine(const struct fg_owner *o,
-			void (*fn)(void *arg, uint64_t key, uint64_t fence),
-			void *arg)
+void fg_owner_for_each_owned(const struct fg_owner *o,
+			     void (*fn)(void *arg, uint64_t key,
+					uint64_t fence),
+			     void *arg)
 {
 	GHashTableIter it;
 	void *value;
--- a/lib/owner/fg_owner.h
+++ b/lib/owner/fg_owner.h
@@ -100,13 +100,13 @@
 
 /* Adds or updates a key that wants an owner; `leaving` keys are kept by their
  * owner and claimed by nobody. */
-void fg_owner_want(struct fg_owner *o, uint64_t key, const char *region,
-		   const char *dc, bool leaving);
+void fg_owner_set_key(struct fg_owner *o, uint64_t key, const char *region,
+		      const char *dc, bool leaving);
 
 /* Forgets a key that is gone for good; deletes its row if it is ours. The id
  * must not come back, since its fencing numbers would start again. */
-void fg_owner_drop(struct fg_owner *o, fg_ms now, uint64_t key,
-		   fg_owner_emit emit, void *arg);
+void fg_owner_remove_key(struct fg_owner *o, fg_ms now, uint64_t key,
+			 fg_owner_emit emit, void *arg);
 
 /* Call at least each 100 ms, and after membership changed. */
 void fg_owner_tick(struct fg_owner *o, fg_ms now, fg_owner_emit emit,
@@ -117,17 +117,19 @@
 
 /* An OWNED message or a NOT_OWNER reply: a hint, taken if its fence is
  * higher than the one known. */
-void fg_owner_hint(struct fg_owner *o, fg_ms now, uint64_t key, uint64_t owner,
-		   uint64_t fence, fg_owner_emit emit, void *arg);
+void fg_owner_on_hint(struct fg_owner *o, fg_ms now, uint64_t key,
+		      uint64_t owner, uint64_t fence, fg_owner_emit emit,
+		      void *arg);
 
 /* Writes an intent to the row of a key that is ours; ends in INTENT_OK or
  * INTENT_FAILED with its id. Writes due within a tick share one transaction. */
-void fg_owner_intent(struct fg_owner *o, fg_ms now, uint64_t key,
-		     const struct fg_intent *intent, fg_owner_emit emit,
-		     void *arg);
+void fg_owner_store_intent(struct fg_owner *o, fg_ms now, uint64_t key,
+			   const struct fg_intent *intent, fg_owner_emit emit,
+			   void *arg);
 
 /* Removes an intent; done lazily with the next write. */
-void fg_owner_intent_done(struct fg_owner *o, uint64_t key, uint64_t intent_id);
+void fg_owner_remove_intent(struct fg_owner *o, uint64_t key,
+			    uint64_t intent_id);
 
 /* Hands over everything that is ours: rows get owner 0, fences stay. Nothing
  * is claimed from then on. Each key ends in RELEASED or LOST. */
@@ -135,15 +137,16 @@
 			  void *arg);
 
 /* State of a key; *owner and *fence when not NULL. FG_OWN_FREE if unknown. */
-enum fg_own_state fg_owner_find(const struct fg_owner *o, uint64_t key,
-				uint64_t *owner, uint64_t *fence);
+enum fg_own_state fg_owner_get_state(const struct fg_owner *o, uint64_t key,
+				     uint64_t *owner, uint64_t *fence);
 
 /* True while we own the key and the standing allows acting on it. */
 bool fg_owner_may_act(const struct fg_owner *o, uint64_t key, fg_ms now);
 
 /* Calls fn for each key that is ours. */
-void fg_owner_each_mine(const struct fg_owner *o,
-			void (*fn)(void *arg, uint64_t key, uint64_t fence),
-			void *arg);
+void fg_owner_for_each_owned(const struct fg_owner *o,
+			     void (*fn)(void *arg, uint64_t key,
+					uint64_t fence),
+			     void *arg);
 
 #endif
--- a/lib/owner/fg_owner_write.c
+++ b/lib/owner/fg_owner_write.c
@@ -105,9 +105,9 @@
 	}
 }
 
-void fg_owner_intent(struct fg_owner *o, fg_ms now, uint64_t key,
-		     const struct fg_intent *intent, fg_owner_emit emit,
-		     void *arg)
+void fg_owner_store_intent(struct fg_owner *o, fg_ms now, uint64_t key,
+			   const struct fg_intent *intent, fg_owner_emit emit,
+			   void *arg)
 {
 	struct fg_own_key *k = fg_owner_key(o, key);
 	struct fg_owner_act act = { .type = FG_OA_INTENT_FAILED,
@@ -130,7 +130,8 @@
 	o->work_due = true;
 }
 
-void fg_owner_intent_done(struct fg_owner *o, uint64_t key, uint64_t intent_id)
+void fg_owner_remove_intent(struct fg_owner *o, uint64_t key,
+			    uint64_t intent_id)
 {
 	struct fg_own_key *k = fg_owner_key(o, key);
 
--- a/lib/place/fg_broker.c
+++ b/lib/place/fg_broker.c
@@ -65,9 +65,9 @@
 	g_free(b);
 }
 
-void fg_broker_set(struct fg_broker *b, uint32_t loads_per_s,
-		   uint32_t in_flight_max, uint32_t load_ms,
-		   uint32_t stall_weight)
+void fg_broker_set_limits(struct fg_broker *b, uint32_t loads_per_s,
+			  uint32_t in_flight_max, uint32_t load_ms,
+			  uint32_t stall_weight)
 {
 	b->conf.loads_per_s = loads_per_s;
 	b->conf.in_flight_max = in_flight_max;
@@ -75,7 +75,7 @@
 	b->conf.stall_weight = stall_weight;
 }
 
-void fg_broker_set_hold(struct fg_broker *b, uint32_t hold_max_ms)
+void fg_broker_set_hold_max(struct fg_broker *b, uint32_t hold_max_ms)
 {
 	b->hold_max_ms = hold_max_ms;
 }
@@ -208,8 +208,8 @@
 	ask->terms.hold_until = MIN(ask->terms.hold_until, was->hold_until);
 }
 
-void fg_broker_need(struct fg_broker *b, fg_ms now, uint64_t from,
-		    const fg_need *need)
+void fg_broker_on_need(struct fg_broker *b, fg_ms now, uint64_t from,
+		       const fg_need *need)
 {
 	struct fg_want_ask ask = { .from = from,
 				   .admitted = !b->policy->refuses };
@@ -233,7 +233,7 @@
 	fg_broker_settle(b, w);
 }
 
-void fg_broker_router_gone(struct fg_broker *b, uint64_t from)
+void fg_broker_on_router_gone(struct fg_broker *b, uint64_t from)
 {
 	GList *wants = g_hash_table_get_values(b->wants);
 
@@ -246,7 +246,7 @@
 	g_list_free(wants);
 }
 
-void fg_broker_heat(struct fg_broker *b, fg_ms now, const fg_heat *heat)
+void fg_broker_on_heat(struct fg_broker *b, fg_ms now, const fg_heat *heat)
 {
 	for (u_int i = 0; i < heat->items.items_len; i++) {
 		const fg_heat_item *item = &heat->items.items_val[i];
@@ -356,7 +356,8 @@
 	return wait;
 }
 
-uint32_t fg_broker_estimate_ms(const struct fg_broker *b, fg_ms now, fg_av av)
+uint32_t fg_broker_estimate_load_ms(const struct fg_broker *b, fg_ms now,
+				    fg_av av)
 {
 	uint32_t ahead = 1;
 
@@ -439,7 +440,7 @@
 		avoid(w, l->ep, now + PINNED_MS);
 }
 
-void fg_broker_reply(struct fg_broker *b, fg_ms now, const fg_place_rep *rep)
+void fg_broker_on_reply(struct fg_broker *b, fg_ms now, const fg_place_rep *rep)
 {
 	uint64_t order = rep->order;
 	struct fg_load *l = g_hash_table_lookup(b->loads, &order);
--- a/lib/place/fg_broker_admit.c
+++ b/lib/place/fg_broker_admit.c
@@ -174,8 +174,8 @@
 	return false;
 }
 
-void fg_broker_refusals(struct fg_broker *b, fg_ms now, fg_broker_refuse refuse,
-			void *arg)
+void fg_broker_refuse_needs(struct fg_broker *b, fg_ms now,
+			    fg_broker_refuse refuse, void *arg)
 {
 	GPtrArray *list;
 
--- a/lib/place/fg_dir.c
+++ b/lib/place/fg_dir.c
@@ -7,7 +7,7 @@
 /* With a prefix, loads this close (1/n of a batch) count as equal. */
 #define PREFIX_LEVELS 8
 
-void fg_dir_set_weight(struct fg_dir *d, uint32_t stall_weight)
+void fg_dir_set_stall_weight(struct fg_dir *d, uint32_t stall_weight)
 {
 	d->packs = stall_weight < FG_PACK_BELOW;
 }
@@ -61,8 +61,8 @@
 	return e;
 }
 
-void fg_dir_endpoint(struct fg_dir *d, uint64_t ep, const char *service,
-		     const char *region, const char *dc, bool leaving)
+void fg_dir_set_endpoint(struct fg_dir *d, uint64_t ep, const char *service,
+			 const char *region, const char *dc, bool leaving)
 {
 	struct fg_dir_ep *e = find_or_add(d, ep);
 
@@ -112,7 +112,7 @@
 		index_add(d, e, e->av[i]);
 }
 
-void fg_dir_drop(struct fg_dir *d, uint64_t ep)
+void fg_dir_remove_endpoint(struct fg_dir *d, uint64_t ep)
 {
 	struct fg_dir_ep *e = g_hash_table_lookup(d->by_id, &ep);
 
@@ -130,7 +130,7 @@
 		memcmp(e->av, r->av.av_val, e->n_av * sizeof(fg_av)) == 0);
 }
 
-bool fg_dir_resident(struct fg_dir *d, fg_ms now, const fg_resident *r)
+bool fg_dir_on_resident(struct fg_dir *d, fg_ms now, const fg_resident *r)
 {
 	struct fg_dir_ep *e = find_or_add(d, r->ep);
 	bool news;
@@ -153,7 +153,7 @@
 	return news;
 }
 
-void fg_dir_sent(struct fg_dir *d, uint64_t ep, int32_t delta)
+void fg_dir_add_own_grants(struct fg_dir *d, uint64_t ep, int32_t delta)
 {
 	struct fg_dir_ep *e = g_hash_table_lookup(d->by_id, &ep);
 
@@ -229,10 +229,11 @@
 	return prefix_hash != 0 ? (int)(fill * PREFIX_LEVELS) : fill;
 }
 
-struct fg_pick fg_dir_pick(struct fg_dir *d, fg_ms now, const char *service,
-			   fg_av av, const char *region, bool allow_remote,
-			   const uint64_t *avoid, size_t n_avoid,
-			   uint64_t prefix_hash)
+struct fg_pick fg_dir_pick_endpoint(struct fg_dir *d, fg_ms now,
+				    const char *service, fg_av av,
+				    const char *region, bool allow_remote,
+				    const uint64_t *avoid, size_t n_avoid,
+				    uint64_t prefix_hash)
 {
 	const GPtrArray *eps = fg_dir_holders(d, av);
 	uint64_t service_hash = fg_hash_str(service);
@@ -264,8 +265,8 @@
 	return pick;
 }
 
-void fg_dir_each(const struct fg_dir *d, fg_av av,
-		 void (*fn)(void *arg, uint64_t ep), void *arg)
+void fg_dir_for_each_holder(const struct fg_dir *d, fg_av av,
+			    void (*fn)(void *arg, uint64_t ep), void *arg)
 {
 	const GPtrArray *eps = fg_dir_holders(d, av);
 
--- a/lib/place/fg_place.h
+++ b/lib/place/fg_place.h
@@ -33,19 +33,19 @@
 /* The preset's weight of stalls: of endpoints that hold an adapter the least
  * loaded is picked when it is high, and the fullest with room when it is low,
  * so that batches fill. */
-void fg_dir_set_weight(struct fg_dir *d, uint32_t stall_weight);
+void fg_dir_set_stall_weight(struct fg_dir *d, uint32_t stall_weight);
 
 /* An engine that may serve `service`; updates if known. */
-void fg_dir_endpoint(struct fg_dir *d, uint64_t ep, const char *service,
-		     const char *region, const char *dc, bool leaving);
-void fg_dir_drop(struct fg_dir *d, uint64_t ep);
+void fg_dir_set_endpoint(struct fg_dir *d, uint64_t ep, const char *service,
+			 const char *region, const char *dc, bool leaving);
+void fg_dir_remove_endpoint(struct fg_dir *d, uint64_t ep);
 
 /* A RESIDENT message; an older fence or seq is ignored. Returns true if it
  * was news. */
-bool fg_dir_resident(struct fg_dir *d, fg_ms now, const fg_resident *r);
+bool fg_dir_on_resident(struct fg_dir *d, fg_ms now, const fg_resident *r);
 
 /* Own grants in flight on an endpoint; corrects the reported load. */
-void fg_dir_sent(struct fg_dir *d, uint64_t ep, int32_t delta);
+void fg_dir_add_own_grants(struct fg_dir *d, uint64_t ep, int32_t delta);
 
 struct fg_pick {
 	uint64_t ep; /* 0: resident at no usable endpoint */
@@ -56,14 +56,15 @@
 
 /* Endpoints marked in `avoid` are not picked. Prefers the region; another
  * region only with allow_remote. Ties go to the prefix hash (0: none). */
-struct fg_pick fg_dir_pick(struct fg_dir *d, fg_ms now, const char *service,
-			   fg_av av, const char *region, bool allow_remote,
-			   const uint64_t *avoid, size_t n_avoid,
-			   uint64_t prefix_hash);
+struct fg_pick fg_dir_pick_endpoint(struct fg_dir *d, fg_ms now,
+				    const char *service, fg_av av,
+				    const char *region, bool allow_remote,
+				    const uint64_t *avoid, size_t n_avoid,
+				    uint64_t prefix_hash);
 
 /* Calls fn for each endpoint where av is resident. */
-void fg_dir_each(const struct fg_dir *d, fg_av av,
-		 void (*fn)(void *arg, uint64_t ep), void *arg);
+void fg_dir_for_each_holder(const struct fg_dir *d, fg_av av,
+			    void (*fn)(void *arg, uint64_t ep), void *arg);
 
 /* ---- Broker ---- */
 
@@ -87,22 +88,23 @@
 void fg_broker_free(struct fg_broker *b);
 
 /* New facts or weights of the configuration. */
-void fg_broker_set(struct fg_broker *b, uint32_t loads_per_s,
-		   uint32_t in_flight_max, uint32_t load_ms,
-		   uint32_t stall_weight);
+void fg_broker_set_limits(struct fg_broker *b, uint32_t loads_per_s,
+			  uint32_t in_flight_max, uint32_t load_ms,
+			  uint32_t stall_weight);
 
 /* The preset's longest hold: needs of drafts alone wait so long, by
  * fg_hold_ms(), for more requests to share their load. 0 at the start. */
-void fg_broker_set_hold(struct fg_broker *b, uint32_t hold_max_ms);
+void fg_broker_set_hold_max(struct fg_broker *b, uint32_t hold_max_ms);
 
 /* A NEED from router `from`; replaces its last one for the same adapter.
  * waiting == 0 withdraws it. slack_ms is the time until the load must be
  * done, that is the time left less the service time. */
-void fg_broker_need(struct fg_broker *b, fg_ms now, uint64_t from,
-		    const fg_need *need);
-void fg_broker_heat(struct fg_broker *b, fg_ms now, const fg_heat *heat);
-void fg_broker_reply(struct fg_broker *b, fg_ms now, const fg_place_rep *rep);
-void fg_broker_router_gone(struct fg_broker *b, uint64_t from);
+void fg_broker_on_need(struct fg_broker *b, fg_ms now, uint64_t from,
+		       const fg_need *need);
+void fg_broker_on_heat(struct fg_broker *b, fg_ms now, const fg_heat *heat);
+void fg_broker_on_reply(struct fg_broker *b, fg_ms now,
+			const fg_place_rep *rep);
+void fg_broker_on_router_gone(struct fg_broker *b, uint64_t from);
 
 /* Emits the PLACE orders that are due; the receiver sends each to the owner
  * of place->ep. Call at least each 50 ms. */
@@ -121,11 +123,12 @@
  */
 typedef void (*fg_broker_refuse)(void *arg, uint64_t to,
 				 const fg_place_rep *rep);
-void fg_broker_refusals(struct fg_broker *b, fg_ms now, fg_broker_refuse refuse,
-			void *arg);
+void fg_broker_refuse_needs(struct fg_broker *b, fg_ms now,
+			    fg_broker_refuse refuse, void *arg);
 
 /* Time until a load for av would finish if it were asked for now. */
-uint32_t fg_broker_estimate_ms(const struct fg_broker *b, fg_ms now, fg_av av);
+uint32_t fg_broker_estimate_load_ms(const struct fg_broker *b, fg_ms now,
+				    fg_av av);
 
 struct fg_broker_stats {
 	uint32_t waiting; /* adapters with needs */
--- a/tests/bench/bench_slopes.c
+++ b/tests/bench/bench_slopes.c
@@ -119,8 +119,9 @@
 	w.o = fg_owner_new(&conf, w.m, 4);
 	w.n_keys = n_keys;
 	for (int i = 0; i < n_keys; i++)
-		fg_owner_want(w.o, fg_hash_mix(9, (uint64_t)i),
-			      w.nodes[i % 4].region, w.nodes[i % 11].dc, false);
+		fg_owner_set_key(w.o, fg_hash_mix(9, (uint64_t)i),
+				 w.nodes[i % 4].region, w.nodes[i % 11].dc,
+				 false);
 	world_run(&w, WARM_S);
 	s[O_HEAP].y[at] = slopes_heap_bytes() - heap;
 	world_reset_counters(&w);
--- a/tests/bench/place_engine.c
+++ b/tests/bench/place_engine.c
@@ -168,13 +168,13 @@
 	uint32_t ep;
 };
 
-static void on_held(void *arg, const struct fg_grant_ask *ask,
+static void on_held(void *arg, const struct fg_grant_request *ask,
 		    fg_grant_status status, uint64_t grant)
 {
 	struct pump_arg *p = arg;
 
 	grant_rep(p->s, p->ep, (uint32_t)ask->holder - 1,
-		  (uint32_t)(ask->req >> 8), (uint32_t)(ask->req & 0xff),
+		  (uint32_t)(ask->req_id >> 8), (uint32_t)(ask->req_id & 0xff),
 		  status, grant);
 }
 
@@ -184,10 +184,10 @@
 	fg_msg m = { .body = { .type = FG_MSG_RESIDENT } };
 	fg_resident *r;
 
-	if (!fg_grants_changed(s->engines[ep].grants))
+	if (!fg_grants_take_changed(s->engines[ep].grants))
 		return;
 	r = g_new0(fg_resident, 1);
-	fg_grants_resident(s->engines[ep].grants, r);
+	fg_grants_fill_resident(s->engines[ep].grants, r);
 	g_ptr_array_add(s->residents, r);
 	m.body.fg_body_u.resident = *r;
 	for (uint32_t to = 0; to < ROUTERS; to++) {
@@ -204,7 +204,7 @@
 {
 	struct pump_arg arg = { s, ep };
 
-	fg_grants_pump(s->engines[ep].grants, s->now, on_held, &arg);
+	fg_grants_serve_held(s->engines[ep].grants, s->now, on_held, &arg);
 	broadcast(s, ep);
 }
 
@@ -212,9 +212,9 @@
 {
 	const struct arrival *a = &s->t->a[ev->req];
 	struct engine *e = &s->engines[ev->ep];
-	struct fg_grant_ask ask = {
+	struct fg_grant_request ask = {
 		.holder = ev->router + 1,
-		.req = ((uint64_t)ev->req << 8) | ev->attempt,
+		.req_id = ((uint64_t)ev->req << 8) | ev->attempt,
 		.av = a->av,
 		.cls = a->cls,
 		.budget_ms = (uint32_t)MAX(a->at + a->deadline_ms - s->now, 0),
@@ -257,13 +257,13 @@
 void owner_place(struct sim *s, const struct ev *ev)
 {
 	struct engine *e = &s->engines[ev->ep];
-	enum fg_load_start start;
+	enum fg_load_start_result start;
 	uint32_t slot;
 	fg_av victim;
 
-	start = fg_grants_load_start(
+	start = fg_grants_start_load(
 		e->grants, s->now, ev->place.av, ev->place.victim,
-		s->own ? fg_grants_keep : NULL, NULL, &slot, &victim);
+		s->own ? fg_grants_score_keep : NULL, NULL, &slot, &victim);
 	if (start != FG_LOAD_START_OK) {
 		s->in_use_orders += start == FG_LOAD_START_PINNED;
 		place_rep(s, &ev->place, ev->ep,
@@ -286,7 +286,7 @@
 		status = FG_ORDER_LOST;
 	if (status == FG_ORDER_DONE)
 		e->content[ev->slot] = ev->place.av;
-	fg_grants_load_done(e->grants, s->now, ev->slot, status, LOAD_MS * 4);
+	fg_grants_finish_load(e->grants, s->now, ev->slot, status, LOAD_MS * 4);
 	owner_pump(s, ev->ep);
 	place_rep(s, &ev->place, ev->ep,
 		  status == FG_ORDER_DONE ? FG_PLACE_DONE : FG_PLACE_FAILED);
@@ -321,6 +321,6 @@
 				st.slot[i].running++;
 		}
 	}
-	fg_grants_engine(e->grants, s->now, s->now, &st, find, NULL);
+	fg_grants_on_engine_state(e->grants, s->now, s->now, &st, find, NULL);
 	owner_pump(s, ep);
 }
--- a/tests/bench/place_router.c
+++ b/tests/bench/place_router.c
@@ -120,7 +120,7 @@
 	r->state = REQ_ASKED;
 	r->ep = ep;
 	r->attempt++;
-	fg_dir_sent(s->routers[router].dir, sim_ep_id(ep), 1);
+	fg_dir_add_own_grants(s->routers[router].dir, sim_ep_id(ep), 1);
 	sim_count(s, &m, router, sim_owner(ep));
 	sim_push(s,
 		 (struct ev){ .at = s->now + sim_net_ms(router, sim_owner(ep)),
@@ -135,8 +135,8 @@
 {
 	const struct arrival *a = &s->t->a[req];
 
-	return fg_dir_pick(s->routers[a->router].dir, s->now, "model", a->av,
-			   "region", false, &avoid, 1, 0);
+	return fg_dir_pick_endpoint(s->routers[a->router].dir, s->now, "model",
+				    a->av, "region", false, &avoid, 1, 0);
 }
 
 static void dispatch(struct sim *s, uint32_t req, uint64_t avoid)
@@ -184,7 +184,7 @@
 	struct router *router = &s->routers[ev->router];
 
 	if (ev->status != FG_GRANT_OK) {
-		fg_dir_sent(router->dir, sim_ep_id(ev->ep), -1);
+		fg_dir_add_own_grants(router->dir, sim_ep_id(ev->ep), -1);
 		if (r->state != REQ_ASKED || r->attempt != ev->attempt)
 			return;
 		if (ev->status == FG_GRANT_NO_TIME)
@@ -209,7 +209,7 @@
 	uint32_t router = s->t->a[ev->req].router;
 	fg_msg m = { .body = { .type = FG_MSG_RELEASE } };
 
-	fg_dir_sent(s->routers[router].dir, sim_ep_id(r->ep), -1);
+	fg_dir_add_own_grants(s->routers[router].dir, sim_ep_id(r->ep), -1);
 	sim_count(s, &m, router, sim_owner(r->ep));
 	sim_push(s, (struct ev){ .at = s->now +
 				       sim_net_ms(router, sim_owner(r->ep)),
@@ -246,8 +246,8 @@
 	struct router *r = &s->routers[ev->router];
 
 	if (ev->router == BROKER_AT)
-		fg_dir_resident(s->broker_dir, s->now, ev->resident);
-	if (!fg_dir_resident(r->dir, s->now, ev->resident))
+		fg_dir_on_resident(s->broker_dir, s->now, ev->resident);
+	if (!fg_dir_on_resident(r->dir, s->now, ev->resident))
 		return;
 	for (u_int i = 0; i < ev->resident->av.av_len; i++) {
 		uint64_t key = fg_av_key(ev->resident->av.av_val[i]);
@@ -324,7 +324,7 @@
 	if (heat->items.items_len == 0)
 		return;
 	sim_count(s, &m, router, BROKER_AT);
-	fg_broker_heat(s->broker, s->now, heat);
+	fg_broker_on_heat(s->broker, s->now, heat);
 }
 
 static void queue_free(gpointer p)
--- a/tests/bench/place_sim.c
+++ b/tests/bench/place_sim.c
@@ -104,7 +104,7 @@
 
 static void broker_run(struct sim *s)
 {
-	fg_broker_refusals(s->broker, s->now, on_refusal, s);
+	fg_broker_refuse_needs(s->broker, s->now, on_refusal, s);
 	fg_broker_tick(s->broker, s->now, on_place, s);
 }
 
@@ -113,7 +113,7 @@
 	fg_place_rep rep = { ev->place.order, ev->place.ep, ev->place.av,
 			     ev->status };
 
-	fg_broker_reply(s->broker, s->now, &rep);
+	fg_broker_on_reply(s->broker, s->now, &rep);
 	broker_run(s);
 }
 
@@ -144,10 +144,10 @@
 	for (uint32_t ep = 0; ep < s->d->eps; ep++) {
 		fg_resident r;
 
-		fg_dir_endpoint(dir, sim_ep_id(ep), "model", "region", "dc",
-				false);
-		fg_grants_resident(s->engines[ep].grants, &r);
-		fg_dir_resident(dir, 0, &r);
+		fg_dir_set_endpoint(dir, sim_ep_id(ep), "model", "region", "dc",
+				    false);
+		fg_grants_fill_resident(s->engines[ep].grants, &r);
+		fg_dir_on_resident(dir, 0, &r);
 		free(r.av.av_val);
 	}
 }
@@ -168,7 +168,7 @@
 	s->broker_dir = fg_dir_new(1);
 	announce(s, s->broker_dir);
 	s->broker = fg_broker_new(&conf, s->broker_dir, policy, 1);
-	fg_broker_set_hold(s->broker, s->d->preset.hold_max_ms);
+	fg_broker_set_hold_max(s->broker, s->d->preset.hold_max_ms);
 }
 
 static void setup(struct sim *s, const char *policy)
@@ -197,8 +197,8 @@
 	for (uint32_t r = 0; r < ROUTERS; r++) {
 		s->routers[r].dir = fg_dir_new(r + 2);
 		if (s->own)
-			fg_dir_set_weight(s->routers[r].dir,
-					  s->d->preset.stall_weight);
+			fg_dir_set_stall_weight(s->routers[r].dir,
+						s->d->preset.stall_weight);
 		announce(s, s->routers[r].dir);
 		s->routers[r].queues =
 			g_hash_table_new(fg_key_hash, g_int64_equal);
@@ -256,7 +256,7 @@
 		owner_release(s, ev);
 		break;
 	case EV_NEED:
-		fg_broker_need(s->broker, s->now, ev->router, &ev->need);
+		fg_broker_on_need(s->broker, s->now, ev->router, &ev->need);
 		broker_run(s);
 		break;
 	case EV_REFUSAL:
--- a/tests/bench/slopes_broker.c
+++ b/tests/bench/slopes_broker.c
@@ -38,14 +38,14 @@
 
 static void broker_tick(struct fg_broker *b, struct orders *o)
 {
-	fg_broker_refusals(b, o->now, on_refuse, o);
+	fg_broker_refuse_needs(b, o->now, on_refuse, o);
 	fg_broker_tick(b, o->now, on_place, o);
 	while (o->due.length > 0 &&
 	       (fg_ms)GPOINTER_TO_SIZE(g_queue_peek_head(&o->at)) <= o->now) {
 		fg_place_rep *rep = g_queue_pop_head(&o->due);
 
 		g_queue_pop_head(&o->at);
-		fg_broker_reply(b, o->now, rep);
+		fg_broker_on_reply(b, o->now, rep);
 		g_free(rep);
 	}
 }
@@ -56,7 +56,7 @@
 		fg_need need = { slopes_av(ENGINES * SLOTS + *n), 1, 5000,
 				 FG_CLASS_INTERACTIVE };
 
-		fg_broker_need(b, now, *n % ROUTERS, &need);
+		fg_broker_on_need(b, now, *n % ROUTERS, &need);
 	}
 }
 
@@ -74,7 +74,7 @@
 		fg_heat_item item = { slopes_av(i), i % 100 };
 		fg_heat heat = { 1, { 1, &item } };
 
-		fg_broker_heat(b, 0, &heat);
+		fg_broker_on_heat(b, 0, &heat);
 	}
 	for (; o.now < RUN_MS; o.now += TICK_MS) {
 		start = slopes_thread_us();
--- a/tests/bench/slopes_roles.c
+++ b/tests/bench/slopes_roles.c
@@ -88,7 +88,7 @@
 
 	for (uint32_t i = 0; i < SLOTS; i++)
 		av[i] = slopes_av(ep * SLOTS + i + shift);
-	fg_dir_resident(d, 0, &r);
+	fg_dir_on_resident(d, 0, &r);
 }
 
 struct fg_dir *slopes_dir(uint32_t n)
@@ -96,7 +96,7 @@
 	struct fg_dir *d = fg_dir_new(1);
 
 	for (uint32_t ep = 0; ep < n; ep++) {
-		fg_dir_endpoint(d, ep + 1, SERVICE, REGION, "dc", false);
+		fg_dir_set_endpoint(d, ep + 1, SERVICE, REGION, "dc", false);
 		tell(d, ep, 1, 0);
 	}
 	return d;
@@ -111,8 +111,8 @@
 	s[0].y[at] = slopes_heap_bytes() - heap;
 	start = slopes_thread_us();
 	for (uint32_t i = 0; i < EVENTS; i++)
-		fg_dir_pick(d, 0, SERVICE, slopes_av(i * STRIDE), REGION, false,
-			    NULL, 0, 0);
+		fg_dir_pick_endpoint(d, 0, SERVICE, slopes_av(i * STRIDE),
+				     REGION, false, NULL, 0, 0);
 	s[1].y[at] = (slopes_thread_us() - start) / EVENTS;
 	start = slopes_thread_us();
 	for (uint32_t i = 0; i < EVENTS; i++)
@@ -154,22 +154,22 @@
 		uint32_t slot;
 		fg_av victim;
 
-		if (fg_grants_load_start(g, 1, slopes_av(i), (fg_av){ 0 }, NULL,
+		if (fg_grants_start_load(g, 1, slopes_av(i), (fg_av){ 0 }, NULL,
 					 NULL, &slot,
 					 &victim) != FG_LOAD_START_OK)
 			g_error("cannot load adapter %u", i);
-		fg_grants_load_done(g, 1, slot, FG_ORDER_DONE, RUN_MS);
+		fg_grants_finish_load(g, 1, slot, FG_ORDER_DONE, RUN_MS);
 	}
 	return g;
 }
 
 static uint64_t grant(struct fg_grants *g, uint32_t req)
 {
-	struct fg_grant_ask ask = { .holder = 9,
-				    .req = req + 1,
-				    .av = slopes_av(req % SLOTS),
-				    .cls = FG_CLASS_INTERACTIVE,
-				    .budget_ms = RUN_MS / 2 };
+	struct fg_grant_request ask = { .holder = 9,
+					.req_id = req + 1,
+					.av = slopes_av(req % SLOTS),
+					.cls = FG_CLASS_INTERACTIVE,
+					.budget_ms = RUN_MS / 2 };
 	uint64_t id = 0;
 
 	if (fg_grants_request(g, 2, &ask, &id) != FG_GRANT_OK)
--- a/tests/unit/cluster.c
+++ b/tests/unit/cluster.c
@@ -332,8 +332,8 @@
 	n->m = fg_member_new(&mc, fg_rand_next(&c->rand));
 	n->o = fg_owner_new(&oc, n->m, fg_rand_next(&c->rand));
 	for (int i = 0; i < c->n_keys; i++)
-		fg_owner_want(n->o, c->keys[i], c->key_region[i], "dc-1",
-			      false);
+		fg_owner_set_key(n->o, c->keys[i], c->key_region[i], "dc-1",
+				 false);
 	post(c, c->now + (fg_ms)fg_rand_below(&c->rand, TICK_MS), EV_TICK, n);
 	return n;
 }
@@ -369,8 +369,8 @@
 	struct fg_intent in = { .id = id, .slot = 1, .av = { 7, 1 } };
 
 	in.life_ms = 1000;
-	fg_owner_intent(n->o, node_clock(c, n), c->keys[k], &in, on_owner_act,
-			&call);
+	fg_owner_store_intent(n->o, node_clock(c, n), c->keys[k], &in,
+			      on_owner_act, &call);
 }
 
 /* ---- Cluster ---- */
--- a/tests/unit/grant_fixture.c
+++ b/tests/unit/grant_fixture.c
@@ -38,27 +38,28 @@
 
 void gfx_see(struct fg_grants *g, fg_ms now, struct fg_engine_state st)
 {
-	fg_grants_engine(g, now, now, &st, gfx_find, NULL);
+	fg_grants_on_engine_state(g, now, now, &st, gfx_find, NULL);
 }
 
 fg_grant_status gfx_ask(struct fg_grants *g, fg_ms now, uint64_t holder,
 			uint64_t req, uint32_t adapter, uint64_t *grant)
 {
-	struct fg_grant_ask ask = { .holder = holder,
-				    .req = req,
-				    .av = gfx_av(adapter),
-				    .cls = FG_CLASS_INTERACTIVE,
-				    .budget_ms = 5000 };
+	struct fg_grant_request ask = { .holder = holder,
+					.req_id = req,
+					.av = gfx_av(adapter),
+					.cls = FG_CLASS_INTERACTIVE,
+					.budget_ms = 5000 };
 
 	return fg_grants_request(g, now, &ask, grant);
 }
 
-enum fg_load_start gfx_load_start(struct fg_grants *g, fg_ms now, uint32_t a)
+enum fg_load_start_result gfx_load_start(struct fg_grants *g, fg_ms now,
+					 uint32_t a)
 {
 	uint32_t slot;
 	fg_av victim;
 
-	return fg_grants_load_start(g, now, gfx_av(a), gfx_av(0), NULL, NULL,
+	return fg_grants_start_load(g, now, gfx_av(a), gfx_av(0), NULL, NULL,
 				    &slot, &victim);
 }
 
@@ -67,10 +68,10 @@
 	uint32_t slot;
 	fg_av victim;
 
-	g_assert_cmpint(fg_grants_load_start(g, now, gfx_av(adapter), gfx_av(0),
+	g_assert_cmpint(fg_grants_start_load(g, now, gfx_av(adapter), gfx_av(0),
 					     NULL, NULL, &slot, &victim),
 			==, FG_LOAD_START_OK);
-	fg_grants_load_done(g, now, slot, FG_ORDER_DONE, LIFE_MS);
+	fg_grants_finish_load(g, now, slot, FG_ORDER_DONE, LIFE_MS);
 }
 
 /* Two slots with adapters 1 and 2. */
@@ -83,7 +84,7 @@
 	return g;
 }
 
-void gfx_count_reply(void *arg, const struct fg_grant_ask *ask,
+void gfx_count_reply(void *arg, const struct fg_grant_request *ask,
 		     fg_grant_status status, uint64_t grant)
 {
 	uint32_t *counts = arg;
--- a/tests/unit/grant_fixture.h
+++ b/tests/unit/grant_fixture.h
@@ -18,11 +18,12 @@
 void gfx_see(struct fg_grants *g, fg_ms now, struct fg_engine_state st);
 fg_grant_status gfx_ask(struct fg_grants *g, fg_ms now, uint64_t holder,
 			uint64_t req, uint32_t adapter, uint64_t *grant);
-enum fg_load_start gfx_load_start(struct fg_grants *g, fg_ms now, uint32_t a);
+enum fg_load_start_result gfx_load_start(struct fg_grants *g, fg_ms now,
+					 uint32_t a);
 void gfx_load(struct fg_grants *g, fg_ms now, uint32_t adapter);
 /* Two slots with adapters 1 and 2. */
 struct fg_grants *gfx_loaded(void);
-void gfx_count_reply(void *arg, const struct fg_grant_ask *ask,
+void gfx_count_reply(void *arg, const struct fg_grant_request *ask,
 		     fg_grant_status status, uint64_t grant);
 
 #endif
--- a/tests/unit/place_fixture.c
+++ b/tests/unit/place_fixture.c
@@ -18,7 +18,7 @@
 			  .batch = 8 };
 
 	fg_msg_set_avs(&r, avs, n);
-	fg_dir_resident(d, 0, &r);
+	fg_dir_on_resident(d, 0, &r);
 	free(r.av.av_val);
 }
 
@@ -27,7 +27,7 @@
 	struct fg_dir *d = fg_dir_new(1);
 
 	for (uint64_t ep = 1; ep <= EPS; ep++) {
-		fg_dir_endpoint(d, ep, SERVICE, REGION, "a", false);
+		fg_dir_set_endpoint(d, ep, SERVICE, REGION, "a", false);
 		pfx_tell(d, ep, 1, 0, NULL, 0);
 	}
 	return d;
--- a/tests/unit/test_broker.c
+++ b/tests/unit/test_broker.c
@@ -54,8 +54,8 @@
 {
 	fg_need n = { pfx_av(adapter), waiting, slack_ms, cls };
 
-	fg_broker_need(t->b, now, from, &n);
-	fg_broker_refusals(t->b, now, on_refusal, t);
+	fg_broker_on_need(t->b, now, from, &n);
+	fg_broker_refuse_needs(t->b, now, on_refusal, t);
 }
 
 static void need(struct bench *t, fg_ms now, uint64_t from, uint32_t adapter,
@@ -66,7 +66,7 @@
 
 static void tick(struct bench *t, fg_ms now)
 {
-	fg_broker_refusals(t->b, now, on_refusal, t);
+	fg_broker_refuse_needs(t->b, now, on_refusal, t);
 	fg_broker_tick(t->b, now, on_place, t);
 }
 
@@ -74,7 +74,7 @@
 {
 	fg_place_rep rep = { t->last.order, t->last.ep, t->last.av, status };
 
-	fg_broker_reply(t->b, now, &rep);
+	fg_broker_on_reply(t->b, now, &rep);
 }
 
 static void heat(struct bench *t, fg_ms now, uint32_t adapter, uint32_t count)
@@ -82,7 +82,7 @@
 	fg_heat_item item = { pfx_av(adapter), count };
 	fg_heat h = { 1, { 1, &item } };
 
-	fg_broker_heat(t->b, now, &h);
+	fg_broker_on_heat(t->b, now, &h);
 }
 
 static struct fg_broker_stats stats(const struct bench *t)
@@ -118,7 +118,7 @@
 	need(&t, 0, 1, 7, 1, 10000);
 	need(&t, 0, 1, 7, 0, 0);
 	need(&t, 0, 2, 8, 1, 10000);
-	fg_broker_router_gone(t.b, 2);
+	fg_broker_on_router_gone(t.b, 2);
 	tick(&t, 0);
 	g_assert_cmpuint(t.orders, ==, 0);
 	teardown(&t);
@@ -146,7 +146,7 @@
 	struct bench t;
 
 	setup(&t, "gauge");
-	fg_broker_set(t.b, 0, 3, 250, 80);
+	fg_broker_set_limits(t.b, 0, 3, 250, 80);
 	for (uint32_t i = 1; i <= 8; i++)
 		need(&t, 0, 1, i, 1, 60000);
 	tick(&t, 0);
@@ -305,7 +305,7 @@
 	struct bench t;
 
 	setup(&t, "gauge");
-	fg_broker_set(t.b, 5, 8, 250, 0);
+	fg_broker_set_limits(t.b, 5, 8, 250, 0);
 	for (uint32_t i = 1; i <= 40; i++)
 		need(&t, 0, 1, i, 1, 3000);
 	g_assert_cmpuint(t.refusals, >=, 40 - 3 * 5 - 1);
@@ -329,7 +329,7 @@
 	uint32_t refusals;
 
 	setup(&t, "gauge");
-	fg_broker_set(t.b, 5, 8, 250, 0);
+	fg_broker_set_limits(t.b, 5, 8, 250, 0);
 	for (uint32_t i = 1; i <= 40; i++)
 		need(&t, 0, 1, i, 1, 20000);
 	g_assert_cmpuint(t.refusals, ==, 0);
@@ -362,7 +362,7 @@
 	uint32_t orders;
 
 	setup(&t, "gauge");
-	fg_broker_set(t.b, 5, 8, 250, 0);
+	fg_broker_set_limits(t.b, 5, 8, 250, 0);
 	for (uint32_t i = 1; i <= 24; i++)
 		need(&t, 0, 1, i, 1, 5000);
 	g_assert_cmpuint(t.refusals, ==, 0);
@@ -384,7 +384,7 @@
 	struct bench t;
 
 	setup(&t, "gauge");
-	fg_broker_set(t.b, 5, 8, 250, 0);
+	fg_broker_set_limits(t.b, 5, 8, 250, 0);
 	for (uint32_t i = 1; i <= 24; i++)
 		need(&t, 0, 1, i, 1, 5000);
 	need(&t, 3000, 2, 1, 1, 2500);
@@ -403,7 +403,7 @@
 	need(&t, 0, 1, 1, 1, 20000);
 	need(&t, 1000, 1, 2, 9, 20000);
 	need(&t, 3500, 1, 1, 2, 16500);
-	fg_broker_set(t.b, 5, 1, 250, 80);
+	fg_broker_set_limits(t.b, 5, 1, 250, 80);
 	tick(&t, 3600);
 	g_assert_cmpuint(t.last.av.adapter, ==, 1);
 	teardown(&t);
@@ -455,7 +455,7 @@
 	struct bench t;
 
 	setup(&t, "gauge");
-	fg_broker_set(t.b, 5, 8, 250, 0);
+	fg_broker_set_limits(t.b, 5, 8, 250, 0);
 	for (uint32_t i = 1; i <= 100; i++)
 		need_of(&t, 0, 1, i, 1, 10000, FG_CLASS_DRAFT);
 	g_assert_cmpuint(t.refusals, >, 100 - 45);
@@ -473,8 +473,8 @@
 	struct bench t;
 
 	setup(&t, "gauge");
-	fg_broker_set(t.b, 5, 8, 250, 0);
-	fg_broker_set_hold(t.b, 8000);
+	fg_broker_set_limits(t.b, 5, 8, 250, 0);
+	fg_broker_set_hold_max(t.b, 8000);
 	need_of(&t, 0, 1, 1, 1, 60000, FG_CLASS_DRAFT);
 	tick(&t, 7950);
 	g_assert_cmpuint(t.orders, ==, 0);
--- a/tests/unit/test_broker_sim.c
+++ b/tests/unit/test_broker_sim.c
@@ -50,7 +50,7 @@
 	fg_av avs[2] = { p.av, pfx_av(100 + (uint32_t)p.ep) };
 
 	s->pending[i] = s->pending[--s->n];
-	fg_broker_reply(s->b, s->now, &rep);
+	fg_broker_on_reply(s->b, s->now, &rep);
 	s->seq++;
 	if (rep.status == FG_PLACE_DONE)
 		pfx_tell(s->d, p.ep, s->seq, (uint32_t)s->seq % 9, avs, 2);
@@ -65,10 +65,10 @@
 	struct fg_broker_stats st;
 
 	s->now += (fg_ms)fg_rand_below(&s->rand, 60);
-	fg_broker_need(s->b, s->now, 1 + fg_rand_below(&s->rand, 3), &n);
+	fg_broker_on_need(s->b, s->now, 1 + fg_rand_below(&s->rand, 3), &n);
 	if (s->n > 0 && fg_rand_below(&s->rand, 3) == 0)
 		sim_reply(s);
-	fg_broker_refusals(s->b, s->now, ignore_refusal, NULL);
+	fg_broker_refuse_needs(s->b, s->now, ignore_refusal, NULL);
 	fg_broker_tick(s->b, s->now, sim_place, s);
 	fg_broker_stats(s->b, &st);
 	g_assert_cmpuint(st.in_flight, <=, 8);
--- a/tests/unit/test_grant.c
+++ b/tests/unit/test_grant.c
@@ -20,8 +20,8 @@
 	fg_grants_release(g, 13, b);
 	g_assert_cmpuint(fg_grants_in_use(g), ==, 1);
 	g_assert_cmpint(gfx_load_start(g, 14, 3), ==, FG_LOAD_START_OK);
-	g_assert_false(fg_grants_has(g, gfx_av(2)));
-	g_assert_true(fg_grants_has(g, gfx_av(1)));
+	g_assert_false(fg_grants_has_adapter(g, gfx_av(2)));
+	g_assert_true(fg_grants_has_adapter(g, gfx_av(1)));
 	g_assert_cmpint(gfx_load_start(g, 14, 3), ==, FG_LOAD_START_PRESENT);
 	fg_grants_free(g);
 }
@@ -63,7 +63,8 @@
 {
 	struct fg_grants *g = gfx_loaded();
 	uint32_t counts[8] = { 0 };
-	struct fg_grant_ask draft = { 9, 9, gfx_av(1), FG_CLASS_DRAFT, 100, 0 };
+	struct fg_grant_request draft = { 9,   9, gfx_av(1), FG_CLASS_DRAFT,
+					  100, 0 };
 	uint64_t a, b, id;
 
 	gfx_ask(g, 10, 1, 1, 1, &a);
@@ -79,10 +80,10 @@
 	/* Held asks go before new ones of their class. */
 	fg_grants_cancel(g, 20, 1, 4);
 	g_assert_cmpint(gfx_ask(g, 20, 1, 6, 1, &id), ==, FG_GRANT_HELD);
-	fg_grants_pump(g, 21, gfx_count_reply, counts);
+	fg_grants_serve_held(g, 21, gfx_count_reply, counts);
 	g_assert_cmpuint(counts[FG_GRANT_OK], ==, 2);
 	g_assert_cmpint(gfx_ask(g, 21, 1, 6, 1, &id), ==, FG_GRANT_OK);
-	fg_grants_pump(g, 110, gfx_count_reply, counts);
+	fg_grants_serve_held(g, 110, gfx_count_reply, counts);
 	g_assert_cmpuint(counts[FG_GRANT_NO_TIME], ==, 1);
 	g_assert_cmpuint(fg_grants_held(g), ==, 0);
 	fg_grants_free(g);
@@ -92,8 +93,8 @@
 static void test_held_for_batch(void)
 {
 	struct fg_grants_conf wide = grant_conf;
-	struct fg_grant_ask draft = { 9,    1,	 gfx_av(1), FG_CLASS_DRAFT,
-				      9000, 1000 };
+	struct fg_grant_request draft = { 9,	1,   gfx_av(1), FG_CLASS_DRAFT,
+					  9000, 1000 };
 	uint32_t counts[8] = { 0 };
 	struct fg_grants *g;
 	uint64_t id;
@@ -103,17 +104,17 @@
 	gfx_load(g, 1, 1);
 	g_assert_cmpint(fg_grants_request(g, 10, &draft, &id), ==,
 			FG_GRANT_HELD);
-	fg_grants_pump(g, 1009, gfx_count_reply, counts);
+	fg_grants_serve_held(g, 1009, gfx_count_reply, counts);
 	g_assert_cmpuint(fg_grants_held(g), ==, 1);
-	fg_grants_pump(g, 1010, gfx_count_reply, counts);
+	fg_grants_serve_held(g, 1010, gfx_count_reply, counts);
 	g_assert_cmpuint(counts[FG_GRANT_OK], ==, 1);
-	draft.req = 2;
+	draft.req_id = 2;
 	g_assert_cmpint(fg_grants_request(g, 1020, &draft, &id), ==,
 			FG_GRANT_HELD);
 	g_assert_cmpint(gfx_ask(g, 1030, 1, 1, 1, &id), ==, FG_GRANT_OK);
-	fg_grants_pump(g, 1030, gfx_count_reply, counts);
+	fg_grants_serve_held(g, 1030, gfx_count_reply, counts);
 	g_assert_cmpuint(counts[FG_GRANT_OK], ==, 2);
-	draft.req = 3;
+	draft.req_id = 3;
 	g_assert_cmpint(fg_grants_request(g, 1040, &draft, &id), ==,
 			FG_GRANT_OK);
 	fg_grants_free(g);
@@ -143,8 +144,8 @@
 	gfx_ask(g, 10, 1, 1, 1, &a);
 	gfx_ask(g, 10, 1, 2, 1, &id);
 	gfx_ask(g, 10, 1, 3, 1, &id);
-	fg_grants_leave(g);
-	fg_grants_pump(g, 11, gfx_count_reply, counts);
+	fg_grants_set_leaving(g);
+	fg_grants_serve_held(g, 11, gfx_count_reply, counts);
 	g_assert_cmpuint(counts[FG_GRANT_LEAVING], ==, 1);
 	g_assert_cmpint(gfx_ask(g, 12, 1, 4, 1, &id), ==, FG_GRANT_LEAVING);
 	g_assert_cmpint(gfx_load_start(g, 12, 3), ==, FG_LOAD_START_LEAVING);
@@ -158,15 +159,15 @@
 	fg_resident r;
 	uint64_t seq;
 
-	g_assert_true(fg_grants_changed(g));
-	g_assert_false(fg_grants_changed(g));
-	fg_grants_resident(g, &r);
+	g_assert_true(fg_grants_take_changed(g));
+	g_assert_false(fg_grants_take_changed(g));
+	fg_grants_fill_resident(g, &r);
 	g_assert_cmpuint(r.av.av_len, ==, 2);
 	seq = r.seq;
 	free(r.av.av_val);
 	g_assert_cmpint(gfx_load_start(g, 10, 3), ==, FG_LOAD_START_OK);
-	g_assert_true(fg_grants_changed(g));
-	fg_grants_resident(g, &r);
+	g_assert_true(fg_grants_take_changed(g));
+	fg_grants_fill_resident(g, &r);
 	g_assert_cmpuint(r.av.av_len, ==, 1);
 	g_assert_cmpuint(r.seq, >, seq);
 	free(r.av.av_val);
@@ -179,15 +180,15 @@
 	struct fg_grants *g = gfx_loaded();
 	uint64_t a, b;
 
-	fg_grants_changed(g);
+	fg_grants_take_changed(g);
 	gfx_ask(g, 10, 1, 1, 1, &a);
-	g_assert_false(fg_grants_changed(g));
+	g_assert_false(fg_grants_take_changed(g));
 	gfx_ask(g, 10, 1, 2, 2, &b);
-	g_assert_true(fg_grants_changed(g));
+	g_assert_true(fg_grants_take_changed(g));
 	fg_grants_release(g, 11, a);
-	g_assert_true(fg_grants_changed(g));
+	g_assert_true(fg_grants_take_changed(g));
 	fg_grants_release(g, 12, b);
-	g_assert_false(fg_grants_changed(g));
+	g_assert_false(fg_grants_take_changed(g));
 	fg_grants_free(g);
 }
 
@@ -199,12 +200,12 @@
 	uint64_t id;
 
 	gfx_ask(g, 10, 1, 1, 1, &id);
-	g_assert_cmpint(fg_grants_load_start(g, 11, gfx_av(3), gfx_av(1),
-					     fg_grants_keep, NULL, &slot,
+	g_assert_cmpint(fg_grants_start_load(g, 11, gfx_av(3), gfx_av(1),
+					     fg_grants_score_keep, NULL, &slot,
 					     &victim),
 			==, FG_LOAD_START_PINNED);
-	g_assert_cmpint(fg_grants_load_start(g, 11, gfx_av(3), gfx_av(2),
-					     fg_grants_keep, NULL, &slot,
+	g_assert_cmpint(fg_grants_start_load(g, 11, gfx_av(3), gfx_av(2),
+					     fg_grants_score_keep, NULL, &slot,
 					     &victim),
 			==, FG_LOAD_START_OK);
 	g_assert_cmpuint(victim.adapter, ==, 2);
@@ -219,8 +220,9 @@
 		struct fg_grants *g = fg_grants_new(&grant_conf, 1000, true);
 		struct fg_engine_state st = gfx_engine(1, 2, 1);
 
-		fg_grants_expect(g, NULL, 0);
-		fg_grants_engine(g, 1000, asked_at, &st, gfx_find, NULL);
+		fg_grants_await_peers(g, NULL, 0);
+		fg_grants_on_engine_state(g, 1000, asked_at, &st, gfx_find,
+					  NULL);
 		g_assert_cmpint(gfx_load_start(g, 1000, 3), !=,
 				FG_LOAD_START_OK);
 		fg_grants_free(g);
--- a/tests/unit/test_grant_recover.c
+++ b/tests/unit/test_grant_recover.c
@@ -12,7 +12,7 @@
 
 	gfx_ask(g, 10, 1, 1, 1, &a);
 	gfx_ask(g, 10, 2, 1, 2, &b);
-	fg_grants_holder_dead(g, 20, 1);
+	fg_grants_on_holder_dead(g, 20, 1);
 	/* Its request may still be on its way to the engine. */
 	gfx_see(g, 21, gfx_engine(1, 2, 0));
 	g_assert_cmpint(gfx_load_start(g, 22, 3), ==, FG_LOAD_START_PINNED);
@@ -32,14 +32,14 @@
 
 	gfx_ask(g, 10, 1, 1, 1, &a);
 	gfx_ask(g, 10, 2, 1, 2, &b);
-	fg_grants_holder_dead(g, 20, 1);
-	fg_grants_pump(g, 5509, gfx_count_reply, counts);
+	fg_grants_on_holder_dead(g, 20, 1);
+	fg_grants_serve_held(g, 5509, gfx_count_reply, counts);
 	g_assert_cmpuint(fg_grants_in_use(g), ==, 2);
-	fg_grants_pump(g, 5510, gfx_count_reply, counts);
+	fg_grants_serve_held(g, 5510, gfx_count_reply, counts);
 	g_assert_cmpuint(fg_grants_in_use(g), ==, 0);
 	gfx_see(g, 5600, gfx_engine(1, 2, 1));
 	gfx_load(g, 5601, 3);
-	g_assert_true(fg_grants_has(g, gfx_av(1)));
+	g_assert_true(fg_grants_has_adapter(g, gfx_av(1)));
 	fg_grants_free(g);
 }
 
@@ -50,11 +50,12 @@
 	fg_av victim;
 	uint64_t id;
 
-	fg_grants_load_start(g, 10, gfx_av(3), gfx_av(1), NULL, NULL, &slot,
+	fg_grants_start_load(g, 10, gfx_av(3), gfx_av(1), NULL, NULL, &slot,
 			     &victim);
 	g_assert_cmpuint(victim.adapter, ==, 1);
-	fg_grants_load_done(g, 20, slot, FG_ORDER_LOST, LIFE_MS);
-	g_assert_cmpint(fg_grants_slot(g, slot).state, ==, FG_SLOT_TAINTED);
+	fg_grants_finish_load(g, 20, slot, FG_ORDER_LOST, LIFE_MS);
+	g_assert_cmpint(fg_grants_view_slot(g, slot).state, ==,
+			FG_SLOT_TAINTED);
 	/* Still the old content: the order may yet arrive. */
 	gfx_see(g, 30, gfx_engine(1, 2, 0));
 	g_assert_cmpint(gfx_ask(g, 31, 1, 1, 1, &id), ==,
@@ -70,11 +71,11 @@
 	uint32_t slot;
 	fg_av victim;
 
-	fg_grants_load_start(g, 10, gfx_av(3), gfx_av(1), NULL, NULL, &slot,
+	fg_grants_start_load(g, 10, gfx_av(3), gfx_av(1), NULL, NULL, &slot,
 			     &victim);
-	fg_grants_load_done(g, 20, slot, FG_ORDER_LOST, LIFE_MS);
+	fg_grants_finish_load(g, 20, slot, FG_ORDER_LOST, LIFE_MS);
 	gfx_see(g, 30, gfx_engine(3, 2, 0));
-	g_assert_true(fg_grants_has(g, gfx_av(3)));
+	g_assert_true(fg_grants_has_adapter(g, gfx_av(3)));
 	fg_grants_free(g);
 }
 
@@ -90,7 +91,7 @@
 	fg_grants_release(g, 22, id);
 	gfx_see(g, 30, gfx_engine(1, 2, 1));
 	gfx_load(g, 31, 3);
-	g_assert_true(fg_grants_has(g, gfx_av(1)));
+	g_assert_true(fg_grants_has_adapter(g, gfx_av(1)));
 	fg_grants_free(g);
 }
 
@@ -100,8 +101,8 @@
 	struct fg_engine_state older = gfx_engine(9, 2, 0);
 
 	gfx_see(g, 30, gfx_engine(1, 2, 0));
-	fg_grants_engine(g, 31, 20, &older, gfx_find, NULL);
-	g_assert_true(fg_grants_has(g, gfx_av(1)));
+	fg_grants_on_engine_state(g, 31, 20, &older, gfx_find, NULL);
+	g_assert_true(fg_grants_has_adapter(g, gfx_av(1)));
 	fg_grants_free(g);
 }
 
@@ -111,12 +112,12 @@
 	uint32_t slot;
 	fg_av victim;
 
-	fg_grants_load_start(g, 10, gfx_av(3), gfx_av(1), NULL, NULL, &slot,
+	fg_grants_start_load(g, 10, gfx_av(3), gfx_av(1), NULL, NULL, &slot,
 			     &victim);
-	fg_grants_load_done(g, 20, slot, FG_ORDER_FAILED, LIFE_MS);
-	g_assert_false(fg_grants_has(g, gfx_av(1)));
+	fg_grants_finish_load(g, 20, slot, FG_ORDER_FAILED, LIFE_MS);
+	g_assert_false(fg_grants_has_adapter(g, gfx_av(1)));
 	gfx_see(g, 30, gfx_engine(1, 2, 0));
-	g_assert_true(fg_grants_has(g, gfx_av(1)));
+	g_assert_true(fg_grants_has_adapter(g, gfx_av(1)));
 	fg_grants_free(g);
 }
 
@@ -129,14 +130,15 @@
 	gfx_see(g, 5, gfx_engine(1, 2, 0));
 	gfx_ask(g, 10, 1, 1, 1, &id);
 	st.epoch = 2;
-	g_assert_true(fg_grants_engine(g, 20, 20, &st, gfx_find, NULL));
+	g_assert_true(
+		fg_grants_on_engine_state(g, 20, 20, &st, gfx_find, NULL));
 	g_assert_cmpint(gfx_ask(g, 21, 1, 2, 1, &id), ==,
 			FG_GRANT_NOT_RESIDENT);
 	g_assert_cmpuint(fg_grants_in_use(g), ==, 0);
 	gfx_load(g, 30, 3);
 	/* A state asked for before the load does not undo it. */
-	fg_grants_engine(g, 31, 25, &st, gfx_find, NULL);
-	g_assert_true(fg_grants_has(g, gfx_av(3)));
+	fg_grants_on_engine_state(g, 31, 25, &st, gfx_find, NULL);
+	g_assert_true(fg_grants_has_adapter(g, gfx_av(3)));
 	fg_grants_free(g);
 }
 
@@ -149,14 +151,14 @@
 	fg_av victim;
 
 	gfx_see(g, 5, gfx_engine(1, 2, 0));
-	fg_grants_load_start(g, 10, gfx_av(3), gfx_av(1), NULL, NULL, &slot,
+	fg_grants_start_load(g, 10, gfx_av(3), gfx_av(1), NULL, NULL, &slot,
 			     &victim);
 	st.epoch = 2;
 	gfx_see(g, 20, st);
-	fg_grants_load_done(g, 21, slot, FG_ORDER_DONE, LIFE_MS);
-	g_assert_false(fg_grants_has(g, gfx_av(3)));
+	fg_grants_finish_load(g, 21, slot, FG_ORDER_DONE, LIFE_MS);
+	g_assert_false(fg_grants_has_adapter(g, gfx_av(3)));
 	gfx_see(g, 30, st);
-	g_assert_cmpint(fg_grants_slot(g, slot).state, ==, FG_SLOT_EMPTY);
+	g_assert_cmpint(fg_grants_view_slot(g, slot).state, ==, FG_SLOT_EMPTY);
 	fg_grants_free(g);
 }
 
@@ -168,22 +170,22 @@
 	uint64_t id;
 
 	g_assert_cmpint(gfx_ask(g, 100, 3, 1, 1, &id), ==, FG_GRANT_RECOVERING);
-	fg_grants_expect(g, peers, 2);
-	fg_grants_told(g, 101, 1, &told, 1);
-	fg_grants_told(g, 101, 1, &told, 1);
+	fg_grants_await_peers(g, peers, 2);
+	fg_grants_on_peer_grants(g, 101, 1, &told, 1);
+	fg_grants_on_peer_grants(g, 101, 1, &told, 1);
 	gfx_see(g, 102, gfx_engine(1, 2, 0));
 	g_assert_cmpuint(fg_grants_in_use(g), ==, 1);
 	g_assert_cmpint(gfx_load_start(g, 103, 3), ==,
 			FG_LOAD_START_RECOVERING);
 	gfx_see(g, 700, gfx_engine(1, 2, 0));
-	fg_grants_peer_gone(g, 800, 2);
-	g_assert_false(fg_grants_recovering(g, 800));
+	fg_grants_on_peer_gone(g, 800, 2);
+	g_assert_false(fg_grants_is_recovering(g, 800));
 	/* Peer 2 died untold: what it sent may be on its way to slot 1. */
 	gfx_see(g, 801, gfx_engine(1, 2, 0));
 	g_assert_cmpint(gfx_load_start(g, 802, 3), ==, FG_LOAD_START_PINNED);
 	gfx_see(g, 1400, gfx_engine(1, 2, 0));
 	gfx_load(g, 1401, 3);
-	g_assert_true(fg_grants_has(g, gfx_av(1)));
+	g_assert_true(fg_grants_has_adapter(g, gfx_av(1)));
 	fg_grants_release(g, 1402, told.grant);
 	g_assert_cmpuint(fg_grants_in_use(g), ==, 0);
 	fg_grants_free(g);
@@ -194,9 +196,9 @@
 	struct fg_grants *g = fg_grants_new(&grant_conf, 0, true);
 	const uint64_t peer = 1;
 
-	fg_grants_expect(g, &peer, 1);
+	fg_grants_await_peers(g, &peer, 1);
 	gfx_see(g, 1, gfx_engine(1, 2, 0));
-	g_assert_true(fg_grants_recovering(g, GRANT_MAX_MS - 1));
+	g_assert_true(fg_grants_is_recovering(g, GRANT_MAX_MS - 1));
 	gfx_see(g, GRANT_MAX_MS - 1, gfx_engine(1, 2, 0));
 	g_assert_cmpint(gfx_load_start(g, GRANT_MAX_MS, 3), ==,
 			FG_LOAD_START_OK);
@@ -209,10 +211,10 @@
 	struct fg_grants *g = fg_grants_new(&grant_conf, 0, true);
 	const fg_grant_info told = { (4ULL << 32) | 7, 70, { 1, 1 }, 4000 };
 
-	fg_grants_expect(g, NULL, 0);
+	fg_grants_await_peers(g, NULL, 0);
 	gfx_see(g, 1, gfx_engine(1, 2, 0));
 	fg_grants_release(g, 2, told.grant);
-	fg_grants_told(g, 3, 1, &told, 1);
+	fg_grants_on_peer_grants(g, 3, 1, &told, 1);
 	g_assert_cmpuint(fg_grants_in_use(g), ==, 0);
 	fg_grants_free(g);
 }
@@ -226,8 +228,8 @@
 	};
 	uint64_t id;
 
-	fg_grants_taint(g, 0, in, 2);
-	fg_grants_expect(g, NULL, 0);
+	fg_grants_taint_slots(g, 0, in, 2);
+	fg_grants_await_peers(g, NULL, 0);
 	gfx_see(g, 1, gfx_engine(1, 2, 0));
 	g_assert_cmpint(gfx_ask(g, 2, 1, 1, 1, &id), ==, FG_GRANT_NOT_RESIDENT);
 	g_assert_cmpint(gfx_ask(g, 2, 1, 2, 2, &id), ==, FG_GRANT_OK);
@@ -247,9 +249,9 @@
 
 	st.checks_fence = true;
 	st.fence = 4;
-	fg_grants_expect(g, NULL, 0);
+	fg_grants_await_peers(g, NULL, 0);
 	gfx_see(g, 1, st);
-	g_assert_true(fg_grants_fence_wanted(g));
+	g_assert_true(fg_grants_needs_fence(g));
 	g_assert_cmpint(gfx_ask(g, 2, 1, 1, 1, &id), ==, FG_GRANT_RECOVERING);
 	st.fence = 5;
 	gfx_see(g, 3, st);
--- a/tests/unit/test_grant_sim.c
+++ b/tests/unit/test_grant_sim.c
@@ -141,7 +141,7 @@
 	bool ready = false;
 
 	for (uint32_t s = 0; s < SLOTS; s++) {
-		struct fg_slot_view v = fg_grants_slot(w->g, s);
+		struct fg_slot_view v = fg_grants_view_slot(w->g, s);
 
 		if (v.state == FG_SLOT_READY && fg_av_equal(v.av, j->av))
 			ready = ready || v.pins > 0;
@@ -154,11 +154,11 @@
 	w->granted++;
 }
 
-static void on_reply(void *arg, const struct fg_grant_ask *ask,
+static void on_reply(void *arg, const struct fg_grant_request *ask,
 		     fg_grant_status status, uint64_t grant)
 {
 	struct world *w = arg;
-	struct job *j = find_job(w, ask->holder, ask->req);
+	struct job *j = find_job(w, ask->holder, ask->req_id);
 
 	g_assert_nonnull(j);
 	g_assert_true(j->held);
@@ -174,7 +174,7 @@
 			 .req = ++w->next_req,
 			 .av = { 1 + (u_int)roll(w, ADAPTERS), 1 },
 			 .starts = -1 };
-	struct fg_grant_ask ask = {
+	struct fg_grant_request ask = {
 		j.holder,  j.req,
 		j.av,	   FG_CLASS_INTERACTIVE + roll(w, 2),
 		BUDGET_MS, roll(w, 3) == 0 ? 500 : 0
@@ -227,7 +227,7 @@
 		w->answered += j->held;
 		j->held = false;
 	}
-	fg_grants_holder_dead(w->g, w->now, *slot);
+	fg_grants_on_holder_dead(w->g, w->now, *slot);
 	*slot += HOLDERS;
 }
 
@@ -238,7 +238,7 @@
 	struct order o = { .av = { 1 + (u_int)roll(w, ADAPTERS), 1 },
 			   .fence = w->fence };
 
-	if (fg_grants_load_start(w->g, w->now, o.av, (fg_av){ 0, 0 }, NULL,
+	if (fg_grants_start_load(w->g, w->now, o.av, (fg_av){ 0, 0 }, NULL,
 				 NULL, &o.slot, &o.victim) != FG_LOAD_START_OK)
 		return;
 	o.id = ++w->next_order;
@@ -255,8 +255,8 @@
 	if (o->known || (!done && roll(w, 10) > 0))
 		return;
 	o->known = true;
-	fg_grants_load_done(w->g, w->now, o->slot,
-			    done ? FG_ORDER_DONE : FG_ORDER_LOST, LIFE_MS);
+	fg_grants_finish_load(w->g, w->now, o->slot,
+			      done ? FG_ORDER_DONE : FG_ORDER_LOST, LIFE_MS);
 }
 
 static void run_orders(struct world *w)
@@ -274,8 +274,8 @@
 		hear(w, o, obeyed);
 		if (o->life_end < w->now && o->at < 0 && !o->known) {
 			o->known = true;
-			fg_grants_load_done(w->g, w->now, o->slot,
-					    FG_ORDER_LOST, LIFE_MS);
+			fg_grants_finish_load(w->g, w->now, o->slot,
+					      FG_ORDER_LOST, LIFE_MS);
 		}
 		if (o->known && o->at < 0)
 			g_array_remove_index_fast(w->orders, i);
@@ -294,7 +294,7 @@
 			infos[n++] = (fg_grant_info){ j->grant, j->req, j->av,
 						      BUDGET_MS };
 	}
-	fg_grants_told(w->g, w->now, holder, infos, n);
+	fg_grants_on_peer_grants(w->g, w->now, holder, infos, n);
 }
 
 /* The owner dies and the next one starts in recovery. Nothing of holders that
@@ -326,8 +326,8 @@
 	fg_grants_free(w->g);
 	w->g = fg_grants_new(&conf, w->now, true);
 	w->poll.open = false;
-	fg_grants_taint(w->g, w->now, in, n);
-	fg_grants_expect(w->g, w->holder, HOLDERS);
+	fg_grants_taint_slots(w->g, w->now, in, n);
+	fg_grants_await_peers(w->g, w->holder, HOLDERS);
 }
 
 static void do_poll(struct world *w)
@@ -342,12 +342,13 @@
 	if (roll(w, 2) == 0)
 		w->poll.st = snapshot(w);
 	w->poll.open = false;
-	fg_grants_engine(w->g, w->now, w->poll.asked, &w->poll.st, find, NULL);
+	fg_grants_on_engine_state(w->g, w->now, w->poll.asked, &w->poll.st,
+				  find, NULL);
 }
 
 static void raise_fence(struct world *w)
 {
-	if (fg_grants_fence_wanted(w->g))
+	if (fg_grants_needs_fence(w->g))
 		w->engine_fence = MAX(w->engine_fence, w->fence);
 }
 
@@ -376,7 +377,7 @@
 	uint32_t pins = 0;
 
 	for (uint32_t s = 0; s < SLOTS; s++) {
-		struct fg_slot_view v = fg_grants_slot(w->g, s);
+		struct fg_slot_view v = fg_grants_view_slot(w->g, s);
 
 		pins += v.pins;
 		if (v.state == FG_SLOT_LOADING)
@@ -420,7 +421,7 @@
 		do_ask(w);
 		break;
 	}
-	fg_grants_pump(w->g, w->now, on_reply, w);
+	fg_grants_serve_held(w->g, w->now, on_reply, w);
 	check(w);
 }
 
@@ -440,7 +441,7 @@
 	for (int i = 0; i < STEPS; i++)
 		step(&w);
 	w.now += BUDGET_MS;
-	fg_grants_pump(w.g, w.now, on_reply, &w);
+	fg_grants_serve_held(w.g, w.now, on_reply, &w);
 	g_assert_cmpuint(fg_grants_held(w.g), ==, 0);
 	g_assert_cmpuint(w.answered, ==, w.held);
 	*granted += w.granted;
--- a/tests/unit/test_owner.c
+++ b/tests/unit/test_owner.c
@@ -182,7 +182,7 @@
 	cluster_intent(c, n, 0, 12);
 	cluster_run(c, c->now + 500);
 	g_assert_cmpuint(n->intents_ok, ==, 2);
-	fg_owner_intent_done(n->o, c->keys[0], 11);
+	fg_owner_remove_intent(n->o, c->keys[0], 11);
 	cluster_intent(c, n, 0, 13);
 	cluster_run(c, c->now + 500);
 	stored = g_tree_lookup(c->table, key);
@@ -210,7 +210,7 @@
 	for (uint64_t id = 1; id <= 40; id++) {
 		cluster_intent(c, n, 0, id);
 		cluster_run(c, c->now + 400);
-		fg_owner_intent_done(n->o, c->keys[0], id);
+		fg_owner_remove_intent(n->o, c->keys[0], id);
 	}
 	cluster_run(c, c->now + 8000);
 	g_assert_cmpuint(n->intents_ok + n->intents_failed, ==, 40);
@@ -249,13 +249,13 @@
 	fg_ms now = node_clock(c, n);
 	uint64_t owner;
 
-	fg_owner_hint(n->o, now, c->keys[0], 5, c->last_fence[0], ignore_act,
-		      NULL);
+	fg_owner_on_hint(n->o, now, c->keys[0], 5, c->last_fence[0], ignore_act,
+			 NULL);
 	g_assert_true(fg_owner_may_act(n->o, c->keys[0], now));
-	fg_owner_hint(n->o, now, c->keys[0], 5, c->last_fence[0] + 1,
-		      ignore_act, NULL);
+	fg_owner_on_hint(n->o, now, c->keys[0], 5, c->last_fence[0] + 1,
+			 ignore_act, NULL);
 	g_assert_false(fg_owner_may_act(n->o, c->keys[0], now));
-	g_assert_cmpint(fg_owner_find(n->o, c->keys[0], &owner, NULL), ==,
+	g_assert_cmpint(fg_owner_get_state(n->o, c->keys[0], &owner, NULL), ==,
 			FG_OWN_OTHER);
 	g_assert_cmpuint(owner, ==, 5);
 	cluster_free(c);
@@ -273,7 +273,7 @@
 	uint64_t order_fence;
 
 	g_assert_true(fg_owner_may_act(n->o, c->keys[0], node_clock(c, n)));
-	fg_owner_find(n->o, c->keys[0], NULL, &order_fence);
+	fg_owner_get_state(n->o, c->keys[0], NULL, &order_fence);
 	n->paused_until = c->now + 30000;
 	cluster_run(c, c->now + 29000);
 	g_assert_nonnull(cluster_actor(c, 0));
--- a/tests/unit/test_place.c
+++ b/tests/unit/test_place.c
@@ -28,8 +28,8 @@
 static uint64_t pick(struct fg_dir *d, uint32_t adapter, uint64_t avoid,
 		     bool remote, uint64_t prefix)
 {
-	return fg_dir_pick(d, 0, SERVICE, pfx_av(adapter), REGION, remote,
-			   &avoid, 1, prefix)
+	return fg_dir_pick_endpoint(d, 0, SERVICE, pfx_av(adapter), REGION,
+				    remote, &avoid, 1, prefix)
 		.ep;
 }
 
@@ -43,16 +43,16 @@
 	pfx_tell(d, 2, 2, 2, &one, 1);
 	g_assert_cmpuint(pick(d, 1, 0, false, 0), ==, 2);
 	g_assert_cmpuint(pick(d, 1, 2, false, 0), ==, 1);
-	fg_dir_sent(d, 2, 2);
+	fg_dir_add_own_grants(d, 2, 2);
 	g_assert_cmpuint(pick(d, 1, 0, false, 0), ==, 1);
-	fg_dir_sent(d, 2, -2);
-	fg_dir_endpoint(d, 2, SERVICE, REGION, "a", true);
+	fg_dir_add_own_grants(d, 2, -2);
+	fg_dir_set_endpoint(d, 2, SERVICE, REGION, "a", true);
 	g_assert_cmpuint(pick(d, 1, 0, false, 0), ==, 1);
-	fg_dir_endpoint(d, 2, SERVICE, "other", "a", false);
+	fg_dir_set_endpoint(d, 2, SERVICE, "other", "a", false);
 	g_assert_cmpuint(pick(d, 1, 1, false, 0), ==, 0);
 	g_assert_cmpuint(pick(d, 1, 1, true, 0), ==, 2);
 	g_assert_cmpuint(pick(d, 1, 0, true, 0), ==, 1);
-	fg_dir_drop(d, 1);
+	fg_dir_remove_endpoint(d, 1);
 	g_assert_cmpuint(pick(d, 1, 0, false, 0), ==, 0);
 	fg_dir_free(d);
 }
@@ -91,13 +91,13 @@
 	struct fg_dir *d = pfx_dir();
 	fg_av one = pfx_av(1);
 
-	fg_dir_set_weight(d, 20);
+	fg_dir_set_stall_weight(d, 20);
 	pfx_tell(d, 1, 2, 3, &one, 1);
 	pfx_tell(d, 2, 2, 2, &one, 1);
 	g_assert_cmpuint(pick(d, 1, 0, false, 0), ==, 1);
 	pfx_tell(d, 1, 3, 8, &one, 1);
 	g_assert_cmpuint(pick(d, 1, 0, false, 0), ==, 2);
-	fg_dir_set_weight(d, 80);
+	fg_dir_set_stall_weight(d, 80);
 	pfx_tell(d, 1, 4, 3, &one, 1);
 	g_assert_cmpuint(pick(d, 1, 0, false, 0), ==, 2);
 	fg_dir_free(d);
