--- a/lib/config/fg_config.c
+++ b/lib/config/fg_config.c
@@ -185,7 +185,7 @@
 	return c->revision;
 }
 
-size_t fg_config_adapters(const struct fg_config *c)
+size_t fg_config_adapter_count(const struct fg_config *c)
 {
 	return g_hash_table_size(c->by_number);
 }
@@ -319,8 +319,8 @@
 	return a != NULL ? a->base : NULL;
 }
 
-fg_av fg_config_find(const struct fg_config *c, const char *adapter,
-		     const char *version)
+fg_av fg_config_find_version(const struct fg_config *c, const char *adapter,
+			     const char *version)
 {
 	const struct fg_adapter_ent *a = fg_config_ent(c, adapter);
 	size_t index;
--- a/lib/config/fg_config.h
+++ b/lib/config/fg_config.h
@@ -83,7 +83,7 @@
 bool fg_config_check(struct fg_config *c, const char *change, GError **error);
 
 /* Number of adapters. */
-size_t fg_config_adapters(const struct fg_config *c);
+size_t fg_config_adapter_count(const struct fg_config *c);
 
 /*
  * The whole catalogue as JSON; g_malloc'ed. Equal catalogues give equal texts:
@@ -102,18 +102,18 @@
 
 /*
  * Reads the parts of one snapshot, in order, into a catalogue of its own.
- * fg_config_load_finish() then makes c that catalogue if its revision is
+ * fg_config_loader_finish() then makes c that catalogue if its revision is
  * higher than c's, and frees the load; it must only be called when
- * fg_config_load_complete().
+ * fg_config_loader_is_complete().
  */
-struct fg_config_load;
-struct fg_config_load *fg_config_load_new(void);
-void fg_config_load_free(struct fg_config_load *l);
-bool fg_config_load_part(struct fg_config_load *l, const char *part,
-			 GError **error);
-bool fg_config_load_complete(const struct fg_config_load *l);
-uint32_t fg_config_load_next(const struct fg_config_load *l);
-void fg_config_load_finish(struct fg_config_load *l, struct fg_config *c);
+struct fg_config_loader;
+struct fg_config_loader *fg_config_loader_new(void);
+void fg_config_loader_free(struct fg_config_loader *l);
+bool fg_config_loader_add_part(struct fg_config_loader *l, const char *part,
+			       GError **error);
+bool fg_config_loader_is_complete(const struct fg_config_loader *l);
+uint32_t fg_config_loader_next_part(const struct fg_config_loader *l);
+void fg_config_loader_finish(struct fg_config_loader *l, struct fg_config *c);
 
 /* Replaces all of c if the snapshot's revision is higher, else leaves c as it
  * is and returns true as well. */
@@ -139,8 +139,8 @@
 
 /* Number of (adapter, version) by names, the newest version for NULL or "";
  * {0, 0} when unknown. */
-fg_av fg_config_find(const struct fg_config *c, const char *adapter,
-		     const char *version);
+fg_av fg_config_find_version(const struct fg_config *c, const char *adapter,
+			     const char *version);
 
 /* The preset in force; never NULL. */
 const struct fg_preset *fg_config_preset(const struct fg_config *c);
@@ -228,10 +228,11 @@
 /*
  * A peer's ping: its revision, and how long ago that was confirmed. How long
  * the message was under way is not known, so that it confirms our revision
- * only as of FG_CONFSYNC_DOUBT_MS earlier, and not at all after a pause.
+ * only as of FG_CONFSYNC_PING_DELAY_MAX_MS earlier, and not at all after a
+ * pause.
  */
-#define FG_CONFSYNC_DOUBT_MS 1500
-void fg_confsync_on_peer(struct fg_confsync *s, fg_ms now, uint64_t peer,
+#define FG_CONFSYNC_PING_DELAY_MAX_MS 1500
+void fg_confsync_on_ping(struct fg_confsync *s, fg_ms now, uint64_t peer,
 			 uint64_t revision, uint32_t confirm_age_ms,
 			 fg_confsync_emit emit, void *arg);
 
@@ -255,25 +256,26 @@
 
 /* Gives names of instances for the text of a pending answer; NULL when
  * unknown. Without it ids are printed. */
-typedef const char *(*fg_confsync_name)(void *arg, uint64_t id);
-void fg_confsync_set_names(struct fg_confsync *s, fg_confsync_name name,
-			   void *arg);
+typedef const char *(*fg_confsync_name_fn)(void *arg, uint64_t id);
+void fg_confsync_set_name_fn(struct fg_confsync *s, fg_confsync_name_fn name,
+			     void *arg);
 
 /*
  * An operator's change. `change` is a JSON object without "revision";
  * expect_revision 0 takes whatever is newest, else a mismatch is a conflict.
  * Ends in one ANSWER with change_id, at the latest wait_ms later.
  */
-void fg_confsync_change(struct fg_confsync *s, fg_ms now, uint64_t change_id,
-			const char *change, uint64_t expect_revision,
-			uint32_t wait_ms, fg_confsync_emit emit, void *arg);
+void fg_confsync_submit_change(struct fg_confsync *s, fg_ms now,
+			       uint64_t change_id, const char *change,
+			       uint64_t expect_revision, uint32_t wait_ms,
+			       fg_confsync_emit emit, void *arg);
 
 /* Age in ms of the last confirmation that our revision is the newest. */
 uint32_t fg_confsync_confirm_age(const struct fg_confsync *s, fg_ms now);
 
 /* Live instances not known to have `revision`: up to max ids; how many. */
-size_t fg_confsync_missing(const struct fg_confsync *s, uint64_t revision,
-			   uint64_t *ids, size_t max);
+size_t fg_confsync_list_unacked(const struct fg_confsync *s, uint64_t revision,
+				uint64_t *ids, size_t max);
 
 /* Why the last row or message could not be applied; NULL when all could. */
 const char *fg_confsync_fault(const struct fg_confsync *s);
--- a/lib/config/fg_config_apply.c
+++ b/lib/config/fg_config_apply.c
@@ -94,7 +94,7 @@
 		return false;
 	if (fg_config_ent(st->c, name) != NULL)
 		return fail(st, FG_CONFIG_ERR_EXISTS, "adapter exists", name);
-	if (fg_config_adapters(st->c) >= FG_CONFIG_ADAPTERS_MAX)
+	if (fg_config_adapter_count(st->c) >= FG_CONFIG_ADAPTERS_MAX)
 		return fail(st, FG_CONFIG_ERR_RANGE, "too many adapters for",
 			    name);
 	u.a = fg_adapter_ent_new(st->c->next_adapter++, base, name);
--- a/lib/config/fg_config_snapshot.c
+++ b/lib/config/fg_config_snapshot.c
@@ -163,21 +163,21 @@
 
 /* ---- Reading ---- */
 
-struct fg_config_load {
+struct fg_config_loader {
 	struct fg_config *c;
 	uint32_t next; /* part expected */
 	bool complete;
 };
 
-struct fg_config_load *fg_config_load_new(void)
+struct fg_config_loader *fg_config_loader_new(void)
 {
-	struct fg_config_load *l = g_new0(struct fg_config_load, 1);
+	struct fg_config_loader *l = g_new0(struct fg_config_loader, 1);
 
 	l->c = fg_config_new();
 	return l;
 }
 
-void fg_config_load_free(struct fg_config_load *l)
+void fg_config_loader_free(struct fg_config_loader *l)
 {
 	if (l == NULL)
 		return;
@@ -185,12 +185,12 @@
 	g_free(l);
 }
 
-bool fg_config_load_complete(const struct fg_config_load *l)
+bool fg_config_loader_is_complete(const struct fg_config_loader *l)
 {
 	return l->complete;
 }
 
-uint32_t fg_config_load_next(const struct fg_config_load *l)
+uint32_t fg_config_loader_next_part(const struct fg_config_loader *l)
 {
 	return l->next;
 }
@@ -343,7 +343,7 @@
 	return broken(error, "preset in force unknown");
 }
 
-static bool load_part(struct fg_config_load *l, const json_t *obj,
+static bool load_part(struct fg_config_loader *l, const json_t *obj,
 		      GError **error)
 {
 	const json_t *adapters = json_object_get(obj, "adapters");
@@ -371,8 +371,8 @@
 	return true;
 }
 
-bool fg_config_load_part(struct fg_config_load *l, const char *part,
-			 GError **error)
+bool fg_config_loader_add_part(struct fg_config_loader *l, const char *part,
+			       GError **error)
 {
 	json_t *obj = fg_config_parse(part, error);
 	bool ok = obj != NULL && load_part(l, obj, error);
@@ -381,7 +381,7 @@
 	return ok;
 }
 
-void fg_config_load_finish(struct fg_config_load *l, struct fg_config *c)
+void fg_config_loader_finish(struct fg_config_loader *l, struct fg_config *c)
 {
 	g_assert(l->complete);
 	if (l->c->revision > c->revision) {
@@ -390,20 +390,20 @@
 		*c = *l->c;
 		*l->c = old;
 	}
-	fg_config_load_free(l);
+	fg_config_loader_free(l);
 }
 
 bool fg_config_restore(struct fg_config *c, const char *snapshot,
 		       GError **error)
 {
-	struct fg_config_load *l = fg_config_load_new();
+	struct fg_config_loader *l = fg_config_loader_new();
 
-	if (!fg_config_load_part(l, snapshot, error) || !l->complete) {
+	if (!fg_config_loader_add_part(l, snapshot, error) || !l->complete) {
 		if (error == NULL || *error == NULL)
 			broken(error, "incomplete");
-		fg_config_load_free(l);
+		fg_config_loader_free(l);
 		return false;
 	}
-	fg_config_load_finish(l, c);
+	fg_config_loader_finish(l, c);
 	return true;
 }
--- a/lib/config/fg_confsync.c
+++ b/lib/config/fg_confsync.c
@@ -82,8 +82,8 @@
 	g_queue_clear_full(&s->changes, free_change);
 	g_queue_clear_full(&s->acking, free_change);
 	cs_snap_drop(s);
-	fg_config_load_free(s->fetch.load);
-	fg_config_load_free(s->load);
+	fg_config_loader_free(s->fetch.load);
+	fg_config_loader_free(s->load);
 	if (s->cache != NULL)
 		g_ptr_array_free(s->cache, TRUE);
 	g_hash_table_destroy(s->peers);
@@ -91,8 +91,8 @@
 	g_free(s);
 }
 
-void fg_confsync_set_names(struct fg_confsync *s, fg_confsync_name name,
-			   void *arg)
+void fg_confsync_set_name_fn(struct fg_confsync *s, fg_confsync_name_fn name,
+			     void *arg)
 {
 	s->name = name;
 	s->name_arg = arg;
@@ -210,17 +210,17 @@
 	return ok;
 }
 
-void cs_drop_load(struct fg_config_load **l)
+void cs_drop_load(struct fg_config_loader **l)
 {
-	fg_config_load_free(*l);
+	fg_config_loader_free(*l);
 	*l = NULL;
 }
 
-void cs_finish_load(struct fg_confsync *s, struct fg_config_load **l)
+void cs_finish_load(struct fg_confsync *s, struct fg_config_loader **l)
 {
 	uint64_t before = fg_config_revision(s->c);
 
-	fg_config_load_finish(*l, s->c);
+	fg_config_loader_finish(*l, s->c);
 	*l = NULL;
 	if (fg_config_revision(s->c) == before)
 		return;
@@ -311,11 +311,11 @@
 	settle(s, false);
 }
 
-void fg_confsync_on_peer(struct fg_confsync *s, fg_ms now, uint64_t peer,
+void fg_confsync_on_ping(struct fg_confsync *s, fg_ms now, uint64_t peer,
 			 uint64_t revision, uint32_t confirm_age_ms,
 			 fg_confsync_emit emit, void *arg)
 {
-	fg_ms said = now - FG_CONFSYNC_DOUBT_MS;
+	fg_ms said = now - FG_CONFSYNC_PING_DELAY_MAX_MS;
 
 	if (peer == s->self)
 		return;
--- a/lib/config/fg_confsync_change.c
+++ b/lib/config/fg_confsync_change.c
@@ -147,7 +147,7 @@
 static char *missing_names(struct fg_confsync *s, uint64_t revision)
 {
 	uint64_t ids[NAMED_MAX];
-	size_t n = fg_confsync_missing(s, revision, ids, NAMED_MAX);
+	size_t n = fg_confsync_list_unacked(s, revision, ids, NAMED_MAX);
 	GString *out = g_string_new(NULL);
 
 	for (size_t i = 0; i < MIN(n, NAMED_MAX); i++) {
@@ -173,7 +173,7 @@
 {
 	if (!s->live_known || (s->live_timed && s->live_asked < ch->committed))
 		return false;
-	return fg_confsync_missing(s, ch->target, NULL, 0) == 0;
+	return fg_confsync_list_unacked(s, ch->target, NULL, 0) == 0;
 }
 
 void cs_ack_step(struct fg_confsync *s)
@@ -386,9 +386,10 @@
 	return NULL;
 }
 
-void fg_confsync_change(struct fg_confsync *s, fg_ms now, uint64_t change_id,
-			const char *change, uint64_t expect_revision,
-			uint32_t wait_ms, fg_confsync_emit emit, void *arg)
+void fg_confsync_submit_change(struct fg_confsync *s, fg_ms now,
+			       uint64_t change_id, const char *change,
+			       uint64_t expect_revision, uint32_t wait_ms,
+			       fg_confsync_emit emit, void *arg)
 {
 	struct cs_change *ch = g_new0(struct cs_change, 1);
 	char *why;
--- a/lib/config/fg_confsync_fetch.c
+++ b/lib/config/fg_confsync_fetch.c
@@ -62,11 +62,11 @@
 	char key[FG_ROW_KEY_MAX];
 
 	if (f->load == NULL || f->load_revision != s->head.snapshot) {
-		fg_config_load_free(f->load);
-		f->load = fg_config_load_new();
+		fg_config_loader_free(f->load);
+		f->load = fg_config_loader_new();
 		f->load_revision = s->head.snapshot;
 	}
-	cs_part_key(key, f->load_revision, fg_config_load_next(f->load));
+	cs_part_key(key, f->load_revision, fg_config_loader_next_part(f->load));
 	ask(s, CS_FETCH_PART, FG_OP_GET, key);
 }
 
@@ -202,13 +202,13 @@
 		read_head_again(s);
 		return;
 	}
-	if (!fg_config_load_part(f->load, res->rows[0].value, &error)) {
+	if (!fg_config_loader_add_part(f->load, res->rows[0].value, &error)) {
 		cs_set_fault(s, res->rows[0].key, error);
 		cs_drop_load(&f->load);
 		fetch_failed(s, CS_FAULT_RETRY_MS);
 		return;
 	}
-	if (!fg_config_load_complete(f->load))
+	if (!fg_config_loader_is_complete(f->load))
 		return;
 	cs_finish_load(s, &f->load);
 	f->delta_absent = false;
--- a/lib/config/fg_confsync_peer.c
+++ b/lib/config/fg_confsync_peer.c
@@ -72,8 +72,8 @@
 	s->live_asked = asked;
 }
 
-size_t fg_confsync_missing(const struct fg_confsync *s, uint64_t wanted,
-			   uint64_t *ids, size_t max)
+size_t fg_confsync_list_unacked(const struct fg_confsync *s, uint64_t wanted,
+				uint64_t *ids, size_t max)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -362,14 +362,14 @@
 
 	if (s->load != NULL && s->load_from == from &&
 	    s->load_revision == tell->revision &&
-	    fg_config_load_part(s->load, tell->text, NULL))
+	    fg_config_loader_add_part(s->load, tell->text, NULL))
 		return true;
 	/* Only part 0 can begin a load; any other part is a stray one. */
-	fg_config_load_free(s->load);
-	s->load = fg_config_load_new();
+	fg_config_loader_free(s->load);
+	s->load = fg_config_loader_new();
 	s->load_from = from;
 	s->load_revision = tell->revision;
-	if (fg_config_load_part(s->load, tell->text, &error))
+	if (fg_config_loader_add_part(s->load, tell->text, &error))
 		return true;
 	if (error->code == FG_CONFIG_ERR_FORMAT)
 		cs_set_fault(s, "snapshot of a peer", error);
@@ -383,7 +383,7 @@
 	if (!load_part(s, from, tell))
 		return;
 	s->ask_at = s->now + ASK_RETRY_MS;
-	if (!fg_config_load_complete(s->load))
+	if (!fg_config_loader_is_complete(s->load))
 		return;
 	cs_finish_load(s, &s->load);
 	send_ask(s, from);
--- a/lib/config/fg_confsync_priv.h
+++ b/lib/config/fg_confsync_priv.h
@@ -5,7 +5,7 @@
  *   fg_confsync_rows.c    keys and rows of the table
  *   fg_confsync_fetch.c   reading the head, deltas and snapshots
  *   fg_confsync_peer.c    asking, telling and pushing between peers
- *   fg_confsync_change.c  operators' changes
+ *   fg_confsync_submit_change.c  operators' changes
  *   fg_confsync_snap.c    writing snapshots and deleting old rows
  */
 #ifndef FG_CONFSYNC_PRIV_H
@@ -59,7 +59,7 @@
 	fg_ms polled;	   /* when the head was last asked for */
 	uint32_t poll_gap_ms;
 	bool want_head; /* read the head at once */
-	struct fg_config_load *load;
+	struct fg_config_loader *load;
 	uint64_t load_revision;
 };
 
@@ -171,14 +171,14 @@
 	GPtrArray *cache; /* parts of a snapshot for peers */
 	uint64_t cache_revision;
 	fg_ms cache_used;
-	struct fg_config_load *load; /* snapshot from a peer */
+	struct fg_config_loader *load; /* snapshot from a peer */
 	uint64_t load_from;
 	uint64_t load_revision;
 
 	GQueue ring; /* of struct cs_delta, ascending without gaps */
 	size_t ring_bytes;
 
-	fg_confsync_name name;
+	fg_confsync_name_fn name;
 	void *name_arg;
 
 	/* Of the call in progress. */
@@ -198,8 +198,8 @@
 bool cs_apply(struct fg_confsync *s, const char *what, const char *text);
 bool cs_apply_json(struct fg_confsync *s, const char *what, const json_t *obj,
 		   const char *text);
-void cs_finish_load(struct fg_confsync *s, struct fg_config_load **l);
-void cs_drop_load(struct fg_config_load **l);
+void cs_finish_load(struct fg_confsync *s, struct fg_config_loader **l);
+void cs_drop_load(struct fg_config_loader **l);
 
 /* fg_confsync_rows.c */
 void cs_rev_key(char *key, uint64_t revision);
@@ -225,7 +225,7 @@
 void cs_on_tell(struct fg_confsync *s, uint64_t from,
 		const fg_config_tell *tell);
 
-/* fg_confsync_change.c */
+/* fg_confsync_submit_change.c */
 void cs_change_step(struct fg_confsync *s);
 bool cs_change_result(struct fg_confsync *s, const struct fg_table_result *res);
 void cs_ack_step(struct fg_confsync *s);
--- a/lib/node/fg_node.c
+++ b/lib/node/fg_node.c
@@ -99,7 +99,7 @@
 	fg_rand_seed(&n->rand, seed);
 	make_parts(n, seed);
 	fg_ledger_set_is_dead(n->ledger, inst_is_dead, n);
-	fg_confsync_set_names(n->confsync, inst_name, n);
+	fg_confsync_set_name_fn(n->confsync, inst_name, n);
 	n->eps = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 				       fg_ep_free);
 	n->reqs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
@@ -406,8 +406,9 @@
 	n->now = now;
 	tell_live(n);
 	n->open_changes++;
-	fg_confsync_change(n->confsync, now, change_id, change, expect_revision,
-			   wait_ms, fg_wire_confsync, n);
+	fg_confsync_submit_change(n->confsync, now, change_id, change,
+				  expect_revision, wait_ms, fg_wire_confsync,
+				  n);
 	fg_node_drain(n);
 }
 
--- a/lib/node/fg_node_address.c
+++ b/lib/node/fg_node_address.c
@@ -52,7 +52,7 @@
 /* Owners of endpoints that hold the adapter: their grants cost no message. */
 static void add_owners(struct address_list *list, const char *adapter)
 {
-	fg_av av = fg_config_find(list->n->config, adapter, NULL);
+	fg_av av = fg_config_find_version(list->n->config, adapter, NULL);
 
 	if (!fg_av_none(av))
 		fg_dir_for_each_holder(list->n->dir, av, add_owner, list);
--- a/lib/node/fg_node_msg.c
+++ b/lib/node/fg_node_msg.c
@@ -31,7 +31,7 @@
 
 static void take_ping(struct fg_node *n, uint64_t from, const fg_ping *ping)
 {
-	fg_confsync_on_peer(n->confsync, n->now, from, ping->revision,
+	fg_confsync_on_ping(n->confsync, n->now, from, ping->revision,
 			    ping->confirm_age_ms, fg_wire_confsync, n);
 }
 
--- a/lib/node/fg_node_own.c
+++ b/lib/node/fg_node_own.c
@@ -113,7 +113,7 @@
 
 static fg_av find_av(void *arg, const char *adapter, const char *version)
 {
-	return fg_config_find(arg, adapter, version);
+	return fg_config_find_version(arg, adapter, version);
 }
 
 static void first_state(struct fg_node *n, struct fg_own *own,
--- a/tests/bench/bench_config.c
+++ b/tests/bench/bench_config.c
@@ -130,12 +130,12 @@
 	double start = cpu_ms();
 
 	for (unsigned int i = 0; i < CHANGES; i++) {
-		fg_confsync_change(k->s, now, i + 1,
-				   i % 2 ? "{\"kind\":\"preset_set\","
-					   "\"preset\":\"peak\"}"
-					 : "{\"kind\":\"preset_set\","
-					   "\"preset\":\"ordinary\"}",
-				   0, 7000, emit, k);
+		fg_confsync_submit_change(k->s, now, i + 1,
+					  i % 2 ? "{\"kind\":\"preset_set\","
+						  "\"preset\":\"peak\"}"
+						: "{\"kind\":\"preset_set\","
+						  "\"preset\":\"ordinary\"}",
+					  0, 7000, emit, k);
 		answer_all(k, now);
 		fg_confsync_tick(k->s, now, emit, k);
 		acknowledge(k, now, ids);
@@ -192,7 +192,7 @@
 
 static void bench_snapshot(struct fg_config *c)
 {
-	struct fg_config_load *l = fg_config_load_new();
+	struct fg_config_loader *l = fg_config_loader_new();
 	struct fg_config *copy = fg_config_new();
 	double start = cpu_ms();
 	GPtrArray *parts = fg_config_snapshot_parts(c, PART_BYTES);
@@ -201,10 +201,11 @@
 
 	for (guint i = 0; i < parts->len; i++) {
 		bytes += strlen(g_ptr_array_index(parts, i));
-		if (!fg_config_load_part(l, g_ptr_array_index(parts, i), NULL))
+		if (!fg_config_loader_add_part(l, g_ptr_array_index(parts, i),
+					       NULL))
 			g_error("cannot load part %u", i);
 	}
-	fg_config_load_finish(l, copy);
+	fg_config_loader_finish(l, copy);
 	printf("snapshot_parts %u\n", parts->len);
 	printf("snapshot_bytes %zu\n", bytes);
 	printf("snapshot_make_ms %.1f\n", made - start);
--- a/tests/unit/confsync_sim.c
+++ b/tests/unit/confsync_sim.c
@@ -288,7 +288,7 @@
 				    e->age_ms, emit, ea);
 		return;
 	}
-	fg_confsync_on_peer(s, m->now, e->from, e->revision, e->age_ms, emit,
+	fg_confsync_on_ping(s, m->now, e->from, e->revision, e->age_ms, emit,
 			    ea);
 	if (from < m->n)
 		tell_peer(m, e->node, from, e->sent);
@@ -481,8 +481,8 @@
 	g_ptr_array_add(m->changes, ch);
 	ch->id = m->changes->len;
 	ch->deadline = m->now + wait_ms + 10 * TICK_MS;
-	fg_confsync_change(nd->s, m->now, ch->id, body, expect, wait_ms, emit,
-			   &ea);
+	fg_confsync_submit_change(nd->s, m->now, ch->id, body, expect, wait_ms,
+				  emit, &ea);
 	return ch;
 }
 
--- a/tests/unit/test_config.c
+++ b/tests/unit/test_config.c
@@ -82,8 +82,8 @@
 	must(c, "\"kind\":\"right_grant\",\"adapter\":\"a1\",\"caller\":\"*\"");
 	g_assert_cmpint(fg_config_resolve(c, "y", "a1", "1", &av), ==,
 			FG_R_NONE);
-	g_assert_cmpuint(fg_config_find(c, "a1", "2").ver, ==, 2);
-	g_assert_cmpuint(fg_config_find(c, "a1", "9").adapter, ==, 0);
+	g_assert_cmpuint(fg_config_find_version(c, "a1", "2").ver, ==, 2);
+	g_assert_cmpuint(fg_config_find_version(c, "a1", "9").adapter, ==, 0);
 	g_assert_null(fg_config_adapter_name(c, (fg_av){ 99, 1 }));
 	g_assert_null(fg_config_version_name(c, (fg_av){ 1, 99 }));
 	fg_config_free(c);
@@ -97,12 +97,12 @@
 		"\"version\":\"2\"");
 	must(c,
 	     "\"kind\":\"version_add\",\"adapter\":\"a1\",\"version\":\"2\"");
-	g_assert_cmpuint(fg_config_find(c, "a1", "2").ver, ==, 3);
+	g_assert_cmpuint(fg_config_find_version(c, "a1", "2").ver, ==, 3);
 	must(c, "\"kind\":\"adapter_remove\",\"adapter\":\"a1\"");
 	must(c, "\"kind\":\"adapter_add\",\"base\":\"b\",\"adapter\":\"a1\"");
 	must(c,
 	     "\"kind\":\"version_add\",\"adapter\":\"a1\",\"version\":\"2\"");
-	g_assert_cmpuint(fg_config_find(c, "a1", "2").adapter, ==, 2);
+	g_assert_cmpuint(fg_config_find_version(c, "a1", "2").adapter, ==, 2);
 	fg_config_free(c);
 }
 
--- a/tests/unit/test_config_size.c
+++ b/tests/unit/test_config_size.c
@@ -84,7 +84,7 @@
 	g_autoptr(GPtrArray) parts = fg_config_snapshot_parts(c, PART_BYTES);
 	g_autofree char *whole = fg_config_snapshot(c);
 	g_autofree char *copied = NULL;
-	struct fg_config_load *l = fg_config_load_new();
+	struct fg_config_loader *l = fg_config_loader_new();
 	struct fg_config *copy = fg_config_new();
 
 	g_test_message("%zu bytes an adapter, %u parts, a change takes "
@@ -96,11 +96,11 @@
 		const char *part = g_ptr_array_index(parts, i);
 
 		g_assert_cmpuint(strlen(part), <=, PART_BYTES);
-		g_assert_false(fg_config_load_complete(l));
-		g_assert_true(fg_config_load_part(l, part, NULL));
+		g_assert_false(fg_config_loader_is_complete(l));
+		g_assert_true(fg_config_loader_add_part(l, part, NULL));
 	}
-	g_assert_true(fg_config_load_complete(l));
-	fg_config_load_finish(l, copy);
+	g_assert_true(fg_config_loader_is_complete(l));
+	fg_config_loader_finish(l, copy);
 	copied = fg_config_snapshot(copy);
 	g_assert_cmpstr(whole, ==, copied);
 	fg_config_free(c);
@@ -112,15 +112,15 @@
 {
 	struct fg_config *c = grown(2000);
 	g_autoptr(GPtrArray) parts = fg_config_snapshot_parts(c, PART_BYTES);
-	struct fg_config_load *l = fg_config_load_new();
+	struct fg_config_loader *l = fg_config_loader_new();
 
 	g_assert_cmpuint(parts->len, >, 2);
-	g_assert_false(fg_config_load_part(l, parts->pdata[1], NULL));
-	g_assert_true(fg_config_load_part(l, parts->pdata[0], NULL));
-	g_assert_false(fg_config_load_part(l, parts->pdata[0], NULL));
-	g_assert_false(fg_config_load_part(l, parts->pdata[2], NULL));
-	g_assert_true(fg_config_load_part(l, parts->pdata[1], NULL));
-	fg_config_load_free(l);
+	g_assert_false(fg_config_loader_add_part(l, parts->pdata[1], NULL));
+	g_assert_true(fg_config_loader_add_part(l, parts->pdata[0], NULL));
+	g_assert_false(fg_config_loader_add_part(l, parts->pdata[0], NULL));
+	g_assert_false(fg_config_loader_add_part(l, parts->pdata[2], NULL));
+	g_assert_true(fg_config_loader_add_part(l, parts->pdata[1], NULL));
+	fg_config_loader_free(l);
 	fg_config_free(c);
 }
 
--- a/tests/unit/test_confsync.c
+++ b/tests/unit/test_confsync.c
@@ -233,9 +233,9 @@
 		m->conf.lost_percent = 0;
 		sim_run(m, 12000);
 		if (ch->status == FG_CHANGE_UNKNOWN && sim_head(m) == 1) {
-			g_assert_cmpuint(
-				fg_confsync_missing(m->node[0].s, 1, NULL, 0),
-				==, 0);
+			g_assert_cmpuint(fg_confsync_list_unacked(m->node[0].s,
+								  1, NULL, 0),
+					 ==, 0);
 			met++;
 		}
 		sim_free(m);
@@ -282,7 +282,7 @@
 	m = sim_new(&conf, 7);
 
 	sim_run(m, 3000);
-	fg_confsync_set_names(m->node[0].s, name_of, m);
+	fg_confsync_set_name_fn(m->node[0].s, name_of, m);
 	m->node[2].cut_platform = true;
 	for (size_t i = 0; i < m->n; i++) {
 		m->node[i].cut[2] = true;
@@ -293,11 +293,13 @@
 	g_assert_cmpint(ch->status, ==, FG_CHANGE_PENDING);
 	g_assert_cmpstr(ch->text, ==, "salto-2");
 	g_assert_cmpuint(sim_revision(m, 2), ==, 0);
-	g_assert_cmpuint(fg_confsync_missing(m->node[0].s, 1, NULL, 0), ==, 1);
+	g_assert_cmpuint(fg_confsync_list_unacked(m->node[0].s, 1, NULL, 0), ==,
+			 1);
 	sim_heal(m);
 	sim_run(m, 30000);
 	g_assert_cmpuint(sim_revision(m, 2), ==, 1);
-	g_assert_cmpuint(fg_confsync_missing(m->node[0].s, 1, NULL, 0), ==, 0);
+	g_assert_cmpuint(fg_confsync_list_unacked(m->node[0].s, 1, NULL, 0), ==,
+			 0);
 	sim_check_end(m);
 	sim_free(m);
 }
@@ -375,21 +377,21 @@
 	struct fg_confsync *s = fg_confsync_new(c, &conf, 1, 1);
 
 	fg_confsync_tick(s, 1000, drop, NULL);
-	fg_confsync_on_peer(s, 1010, 2, 0, 5, drop, NULL);
+	fg_confsync_on_ping(s, 1010, 2, 0, 5, drop, NULL);
 	g_assert_cmpuint(fg_confsync_confirm_age(s, 1010), ==,
-			 5 + FG_CONFSYNC_DOUBT_MS);
+			 5 + FG_CONFSYNC_PING_DELAY_MAX_MS);
 	fg_confsync_on_pong(s, 1020, 1000, 2, 0, 5, drop, NULL);
 	g_assert_cmpuint(fg_confsync_confirm_age(s, 1020), ==, 25);
-	fg_confsync_on_peer(s, 31000, 2, 0, 0, drop, NULL);
+	fg_confsync_on_ping(s, 31000, 2, 0, 0, drop, NULL);
 	g_assert_cmpuint(fg_confsync_confirm_age(s, 31000), >, 29000);
 	fg_confsync_tick(s, 31010, drop, NULL);
-	fg_confsync_on_peer(s, 31020, 2, 0, 0, drop, NULL);
+	fg_confsync_on_ping(s, 31020, 2, 0, 0, drop, NULL);
 	g_assert_cmpuint(fg_confsync_confirm_age(s, 31020), >, 29000);
 	for (fg_ms t = 31100; t <= 32500; t += 100)
 		fg_confsync_tick(s, t, drop, NULL);
-	fg_confsync_on_peer(s, 32510, 2, 0, 0, drop, NULL);
+	fg_confsync_on_ping(s, 32510, 2, 0, 0, drop, NULL);
 	g_assert_cmpuint(fg_confsync_confirm_age(s, 32510), ==,
-			 FG_CONFSYNC_DOUBT_MS);
+			 FG_CONFSYNC_PING_DELAY_MAX_MS);
 	fg_confsync_free(s);
 	fg_config_free(c);
 }
