--- a/lib/balance/fg_balance.c
+++ b/lib/balance/fg_balance.c
@@ -71,7 +71,7 @@
 	double busy =
 		ask->tokens_per_s / FG_MS_PER_S / conf->prefill_tokens_per_ms;
 
-	return 1 + (uint32_t)(busy / conf->home_share);
+	return 1 + (uint32_t)(busy / conf->home_utilization);
 }
 
 /* Place of the endpoint in the adapter's order of rendezvous hashing, from 0;
@@ -143,7 +143,7 @@
 	if (homes > 1 && stray == 0)
 		return cost + *load_ms;
 	return cost + *load_ms + conf->load_penalty_ms +
-	       stray * conf->stray_penalty_ms;
+	       stray * conf->non_home_penalty_ms;
 }
 
 static double plain_wait(const struct fg_balance_conf *conf,
@@ -151,7 +151,7 @@
 {
 	uint32_t slots = MAX(ep->facts.slots, 1);
 
-	return (double)running(ep) * conf->work_ms / slots;
+	return (double)running(ep) * conf->plain_request_ms / slots;
 }
 
 /* Expected wait and cost of one endpoint. */
@@ -170,8 +170,8 @@
 	double load_ms = 0;
 	double excess = MAX(ep->error_rate - errors, 0.0);
 
-	if (ask->terms->engine) {
-		c.wait_ms = (pending(ep) + ask->tokens) /
+	if (ask->svc->engine) {
+		c.wait_ms = (pending(ep) + ask->prompt_tokens) /
 			    conf->prefill_tokens_per_ms * ep->slowness;
 		c.total_ms = adapter_cost(conf, ask, ep, stray, homes, now,
 					  &c.resident, &load_ms);
@@ -183,8 +183,9 @@
 		c.total_ms = c.wait_ms;
 	}
 	if (strcmp(ep->region, ask->region) != 0) {
-		c.wait_ms += conf->region_ms;
-		c.total_ms += conf->region_ms + conf->region_penalty_ms;
+		c.wait_ms += conf->cross_region_rtt_ms;
+		c.total_ms += conf->cross_region_rtt_ms +
+			      conf->cross_region_penalty_ms;
 	}
 	c.total_ms += ERROR_COST_MS * 2 * excess;
 	if (fg_health_is_ejected(ep, now))
@@ -210,10 +211,10 @@
 	return MIN(n + 1, max);
 }
 
-uint32_t fg_balance_top(const struct fg_balance_conf *conf, struct fg_fleet *f,
-			fg_ms now, const struct fg_balance_query *ask,
-			struct fg_rand *rand, struct fg_balance_pick *out,
-			uint32_t max)
+uint32_t fg_balance_rank(const struct fg_balance_conf *conf, struct fg_fleet *f,
+			 fg_ms now, const struct fg_balance_query *ask,
+			 struct fg_rand *rand, struct fg_balance_pick *out,
+			 uint32_t max)
 {
 	const GPtrArray *all = fg_fleet_all(f);
 	double errors = mean_errors(f, now, ask->service);
@@ -248,6 +249,6 @@
 {
 	struct fg_balance_pick best = { 0 };
 
-	(void)fg_balance_top(conf, f, now, ask, rand, &best, 1);
+	(void)fg_balance_rank(conf, f, now, ask, rand, &best, 1);
 	return best;
 }
--- a/lib/balance/fg_balance.h
+++ b/lib/balance/fg_balance.h
@@ -31,21 +31,23 @@
 	uint32_t load_ms;	      /* adapter from the weight store */
 	uint32_t reload_ms;	      /* adapter held before */
 	uint32_t load_penalty_ms;     /* wait accepted to avoid a load */
-	uint32_t stray_penalty_ms;    /* ... a load at another than its homes */
-	double home_share; /* of an endpoint's time that one adapter may take */
-	uint32_t region_ms;	    /* round trip to another region */
-	uint32_t region_penalty_ms; /* wait accepted to stay in the region */
-	uint32_t work_ms;	    /* of a plain request */
+	uint32_t non_home_penalty_ms; /* ... a load at another than its homes */
+	double home_utilization; /* of an endpoint's time that one adapter may
+				    take */
+	uint32_t cross_region_rtt_ms;	  /* round trip to another region */
+	uint32_t cross_region_penalty_ms; /* wait accepted to stay in the region
+					   */
+	uint32_t plain_request_ms;	  /* of a plain request */
 };
 
 struct fg_balance_query {
 	const char *service;
-	const struct fg_svc *terms;
+	const struct fg_svc *svc;
 	const char *region; /* of this instance */
 	uint64_t adapter;   /* the bare model counts as one; 0: plain request */
 	uint64_t model;	    /* its base model, which must be there */
-	uint32_t tokens;    /* of the prompt; 0 for plain requests */
-	double tokens_per_s; /* prompts of this adapter, all instances */
+	uint32_t prompt_tokens; /* of the prompt; 0 for plain requests */
+	double tokens_per_s;	/* prompts of this adapter, all instances */
 	struct fg_fleet_ep *avoid[4]; /* tried before */
 	uint32_t n_avoid;
 };
@@ -58,10 +60,10 @@
 };
 
 /* The cheapest endpoints, cheapest first; returns how many, at most max. */
-uint32_t fg_balance_top(const struct fg_balance_conf *conf, struct fg_fleet *f,
-			fg_ms now, const struct fg_balance_query *ask,
-			struct fg_rand *rand, struct fg_balance_pick *out,
-			uint32_t max);
+uint32_t fg_balance_rank(const struct fg_balance_conf *conf, struct fg_fleet *f,
+			 fg_ms now, const struct fg_balance_query *ask,
+			 struct fg_rand *rand, struct fg_balance_pick *out,
+			 uint32_t max);
 
 /* The cheapest one. */
 struct fg_balance_pick fg_balance_pick(const struct fg_balance_conf *conf,
--- a/lib/gateway/fg_events.c
+++ b/lib/gateway/fg_events.c
@@ -5,19 +5,19 @@
 void fg_events_init(struct fg_events *e)
 {
 	memset(e, 0, sizeof(*e));
-	e->rest = g_string_new(NULL);
+	e->partial = g_string_new(NULL);
 }
 
 void fg_events_clear(struct fg_events *e)
 {
-	if (e->rest != NULL)
-		g_string_free(e->rest, TRUE);
-	e->rest = NULL;
+	if (e->partial != NULL)
+		g_string_free(e->partial, TRUE);
+	e->partial = NULL;
 }
 
-void fg_events_restart(struct fg_events *e)
+void fg_events_drop_partial(struct fg_events *e)
 {
-	g_string_truncate(e->rest, 0);
+	g_string_truncate(e->partial, 0);
 }
 
 /* Reads "id: N" at the start of a line. */
@@ -76,19 +76,19 @@
 	size_t whole = 0;
 	size_t n;
 
-	g_string_append_len(e->rest, data, (gssize)len_bytes);
-	while ((n = event_length(e->rest->str + whole, e->rest->len - whole)) >
-	       0) {
-		read_lines(e, e->rest->str + whole, n);
-		e->whole++;
+	g_string_append_len(e->partial, data, (gssize)len_bytes);
+	while ((n = event_length(e->partial->str + whole,
+				 e->partial->len - whole)) > 0) {
+		read_lines(e, e->partial->str + whole, n);
+		e->n_complete++;
 		whole += n;
 	}
-	if (e->rest->len - whole > FG_EVENT_MAX_BYTES)
+	if (e->partial->len - whole > FG_EVENT_MAX_BYTES)
 		return -1;
 	return (gssize)whole;
 }
 
-void fg_events_took(struct fg_events *e, size_t len_bytes)
+void fg_events_consume(struct fg_events *e, size_t len_bytes)
 {
-	g_string_erase(e->rest, 0, (gssize)len_bytes);
+	g_string_erase(e->partial, 0, (gssize)len_bytes);
 }
--- a/lib/gateway/fg_events.h
+++ b/lib/gateway/fg_events.h
@@ -18,24 +18,24 @@
 #define FG_EVENT_MAX_BYTES (256 * 1024)
 
 struct fg_events {
-	GString *rest; /* begin of an event that is not whole yet */
+	GString *partial; /* begin of an event that is not whole yet */
 	bool has_id;
-	uint64_t last_id; /* of the last whole event that had one */
-	uint64_t whole;	  /* events handed on */
+	uint64_t last_id;    /* of the last whole event that had one */
+	uint64_t n_complete; /* events handed on */
 };
 
 void fg_events_init(struct fg_events *e);
 void fg_events_clear(struct fg_events *e);
 
 /* Forgets a begun event: another endpoint goes on. */
-void fg_events_restart(struct fg_events *e);
+void fg_events_drop_partial(struct fg_events *e);
 
 /*
- * Takes bytes; returns how many bytes of e->rest, from its start, are whole
+ * Takes bytes; returns how many bytes of e->partial, from its start, are whole
  * events (0 when none is). The caller hands them on and then calls
- * fg_events_took(). Returns -1 when an event is too large.
+ * fg_events_consume(). Returns -1 when an event is too large.
  */
 gssize fg_events_feed(struct fg_events *e, const char *data, size_t len_bytes);
-void fg_events_took(struct fg_events *e, size_t len_bytes);
+void fg_events_consume(struct fg_events *e, size_t len_bytes);
 
 #endif
--- a/lib/gateway/fg_gateway.c
+++ b/lib/gateway/fg_gateway.c
@@ -25,11 +25,11 @@
 	.load_ms = 250,
 	.reload_ms = 30,
 	.load_penalty_ms = 300,
-	.stray_penalty_ms = 200,
-	.home_share = 0.3,
-	.region_ms = 26,
-	.region_penalty_ms = 30,
-	.work_ms = 30,
+	.non_home_penalty_ms = 200,
+	.home_utilization = 0.3,
+	.cross_region_rtt_ms = 26,
+	.cross_region_penalty_ms = 30,
+	.plain_request_ms = 30,
 };
 
 /* Requests that crash endpoints: refused after three crashes of different
--- a/lib/gateway/fg_gw_answer.c
+++ b/lib/gateway/fg_gw_answer.c
@@ -108,7 +108,7 @@
 	}
 	if (head->status >= HTTP_STATUS_INTERNAL_SERVER_ERROR &&
 	    (r->head_sent ||
-	     (r->route->repeatable && r->runs + 1 < r->route->attempts_max))) {
+	     (r->route->idempotent && r->runs + 1 < r->route->attempts_max))) {
 		give_up(r, FG_SEND_ERROR, "endpoint_error");
 		return true;
 	}
@@ -136,9 +136,9 @@
 		r->head_sent = true;
 	}
 	g_string_append_printf(out, "%zx\r\n", len);
-	g_string_append_len(out, r->events.rest->str, (gssize)len);
+	g_string_append_len(out, r->events.partial->str, (gssize)len);
 	g_string_append(out, "\r\n");
-	fg_events_took(&r->events, len);
+	fg_events_consume(&r->events, len);
 	fg_link_write(c->link, out->str, out->len);
 	g_string_free(out, TRUE);
 	if (fg_link_pending(c->link) > PENDING_MAX_BYTES)
@@ -175,7 +175,7 @@
 {
 	static const char last_chunk[] = "0\r\n\r\n";
 
-	if (r->events.rest->len > 0 || !r->head_sent) {
+	if (r->events.partial->len > 0 || !r->head_sent) {
 		fg_gwreq_send_ended(r, FG_SEND_BROKEN, "stream_cut");
 		return;
 	}
--- a/lib/gateway/fg_gw_orders.c
+++ b/lib/gateway/fg_gw_orders.c
@@ -328,7 +328,7 @@
 
 	if (gw->routes == NULL)
 		return NULL;
-	i = fg_routes_service(gw->routes, ep->facts.service);
+	i = fg_routes_find_service(gw->routes, ep->facts.service);
 	if (i < 0)
 		return NULL;
 	s = gw->routes->services->pdata[i];
--- a/lib/gateway/fg_gw_own.c
+++ b/lib/gateway/fg_gw_own.c
@@ -110,8 +110,8 @@
 		struct fg_fleet_ep *ep = all->pdata[i];
 		int service = gw->routes == NULL
 				      ? -1
-				      : fg_routes_service(gw->routes,
-							  ep->facts.service);
+				      : fg_routes_find_service(
+						gw->routes, ep->facts.service);
 		const struct fg_svc *s =
 			service < 0 ? NULL
 				    : gw->routes->services->pdata[service];
--- a/lib/gateway/fg_gw_place.c
+++ b/lib/gateway/fg_gw_place.c
@@ -71,12 +71,12 @@
 {
 	struct fg_balance_query ask = {
 		.service = r->service->name,
-		.terms = r->service,
+		.svc = r->service,
 		.region = r->gw->conf->region,
 		.adapter = r->adapter,
 		.model =
 			r->adapter == 0 ? 0 : fg_adapter_key(r->call.model, ""),
-		.tokens = r->call.prompt_tokens,
+		.prompt_tokens = r->call.prompt_tokens,
 		.tokens_per_s = r->adapter == 0
 					? 0
 					: fg_gw_heat(r->gw, now, r->adapter, 0),
@@ -147,8 +147,8 @@
 	struct fg_gateway *gw = r->gw;
 	struct fg_balance_query ask = query(r, now);
 	struct fg_balance_pick top[ASK_MAX];
-	uint32_t n = fg_balance_top(&gw->balance, gw->fleet, now, &ask,
-				    &gw->rand, top, ASK_MAX);
+	uint32_t n = fg_balance_rank(&gw->balance, gw->fleet, now, &ask,
+				     &gw->rand, top, ASK_MAX);
 	fg_ms wait_ms = ASK_NEAR_MS;
 
 	r->asked = 0;
--- a/lib/gateway/fg_gw_request.c
+++ b/lib/gateway/fg_gw_request.c
@@ -177,7 +177,7 @@
 		return "none";
 	if (r->route->streaming)
 		return "streaming";
-	return r->route->repeatable ? "safe" : "unsafe";
+	return r->route->idempotent ? "safe" : "unsafe";
 }
 
 void fg_gwreq_count(const struct fg_gwreq *r, const char *outcome,
@@ -282,7 +282,7 @@
 
 static bool may_repeat(const struct fg_gwreq *r)
 {
-	return r->route->repeatable || r->route->resumable;
+	return r->route->idempotent || r->route->resumable;
 }
 
 /* Takes one repeat from the service's budget. */
@@ -332,7 +332,7 @@
 	if (end == FG_SEND_ABSENT)
 		r->n_tried = 0; /* a load there is as good as elsewhere */
 	if (may_send_again(r, end, now)) {
-		fg_events_restart(&r->events);
+		fg_events_drop_partial(&r->events);
 		fg_gwreq_place(r);
 		return;
 	}
@@ -418,7 +418,7 @@
 {
 	uint32_t limit_ms = r->route->timeout_ms;
 	uint32_t service =
-		fg_route_service(r->route, fg_rand_next(&r->gw->rand));
+		fg_route_choose_service(r->route, fg_rand_next(&r->gw->rand));
 
 	r->service = r->routes->services->pdata[service];
 	if (limit_ms == 0)
--- a/lib/gateway/fg_gw_send.c
+++ b/lib/gateway/fg_gw_send.c
@@ -290,7 +290,7 @@
 
 static void watch_silence(struct fg_gwreq *r, fg_ms now)
 {
-	if (r->first_seen || !(r->route->repeatable || r->route->resumable))
+	if (r->first_seen || !(r->route->idempotent || r->route->resumable))
 		r->step_at = FG_MS_NEVER;
 	else
 		r->step_at = now + silence_limit(r);
@@ -372,7 +372,7 @@
 	}
 	u->req = r;
 	r->up = u;
-	r->step_at = now + CONNECT_MS + 2 * gw->balance.region_ms;
+	r->step_at = now + CONNECT_MS + 2 * gw->balance.cross_region_rtt_ms;
 	fg_gwreq_arm(r);
 }
 
--- a/lib/route/fg_route.c
+++ b/lib/route/fg_route.c
@@ -70,7 +70,7 @@
 	return r;
 }
 
-int fg_routes_service(const struct fg_routes *t, const char *name)
+int fg_routes_find_service(const struct fg_routes *t, const char *name)
 {
 	for (guint i = 0; i < t->services->len; i++) {
 		const struct fg_svc *s = t->services->pdata[i];
@@ -172,7 +172,7 @@
 	return NULL;
 }
 
-uint32_t fg_route_service(const struct fg_route *r, uint64_t draw)
+uint32_t fg_route_choose_service(const struct fg_route *r, uint64_t draw)
 {
 	uint64_t total = 0;
 	uint32_t i = 0;
--- a/lib/route/fg_route.h
+++ b/lib/route/fg_route.h
@@ -17,23 +17,23 @@
 /* A model and how many adapters it has at most. */
 struct fg_svc_model {
 	char *name;
-	uint32_t adapters;
+	uint32_t adapters_max;
 };
 
 struct fg_svc {
 	char *name;
 	char *health_path;
-	uint32_t connections_max; /* an endpoint accepts, from all callers */
-	bool engine;		  /* runs models; the fields below are set */
-	uint32_t slots;		  /* requests an endpoint runs at once */
-	uint32_t memory_tokens;	  /* of an endpoint, for running requests */
+	uint32_t connections_max;    /* an endpoint accepts, from all callers */
+	bool engine;		     /* runs models; the fields below are set */
+	uint32_t slots;		     /* requests an endpoint runs at once */
+	uint32_t kv_capacity_tokens; /* of an endpoint, for running requests */
 	uint32_t adapter_slots;
 	struct fg_svc_model *models;
 	uint32_t n_models;
 };
 
 /* A share of a route's requests that goes to one service. */
-struct fg_share {
+struct fg_route_share {
 	uint32_t service; /* index into fg_routes.services */
 	uint32_t weight;
 };
@@ -42,14 +42,15 @@
 	char *name;
 	char *host;
 	char *prefix;
-	bool repeatable; /* may run more than once */
+	bool idempotent; /* may run more than once */
 	bool streaming;
 	bool resumable; /* a stream may go on at another endpoint */
 	uint32_t timeout_ms;
-	uint32_t aim_ms;   /* answered within this, it has its full worth */
-	uint32_t priority; /* 0 is the most urgent */
+	uint32_t target_latency_ms; /* answered within this, it has its full
+				       worth */
+	uint32_t priority;	    /* 0 is the most urgent */
 	uint32_t attempts_max;
-	struct fg_share *shares;
+	struct fg_route_share *shares;
 	uint32_t n_shares;
 };
 
@@ -79,7 +80,7 @@
 struct fg_route *fg_routes_add_route(struct fg_routes *t);
 
 /* Index of a service by name; -1 when unknown. */
-int fg_routes_service(const struct fg_routes *t, const char *name);
+int fg_routes_find_service(const struct fg_routes *t, const char *name);
 
 /*
  * Ends building: checks the table and makes it ready for look-ups. False with
@@ -95,6 +96,6 @@
 
 /* The service for one request: `draw` is any number, the same one chooses the
  * same share. */
-uint32_t fg_route_service(const struct fg_route *r, uint64_t draw);
+uint32_t fg_route_choose_service(const struct fg_route *r, uint64_t draw);
 
 #endif
--- a/tests/fuzz/fuzz_h1.c
+++ b/tests/fuzz/fuzz_h1.c
@@ -43,7 +43,7 @@
 	gssize n = fg_events_feed(&s->events, data, len);
 
 	if (n > 0)
-		fg_events_took(&s->events, (size_t)n);
+		fg_events_consume(&s->events, (size_t)n);
 }
 
 static void on_end(void *ctx)
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -214,11 +214,11 @@
 	.load_ms = 250,
 	.reload_ms = 30,
 	.load_penalty_ms = 300,
-	.stray_penalty_ms = 200,
-	.home_share = 0.3,
-	.region_ms = 26,
-	.region_penalty_ms = 30,
-	.work_ms = 30,
+	.non_home_penalty_ms = 200,
+	.home_utilization = 0.3,
+	.cross_region_rtt_ms = 26,
+	.cross_region_penalty_ms = 30,
+	.plain_request_ms = 30,
 };
 
 #define MODEL_KEY 1
@@ -250,11 +250,11 @@
 	struct fg_rand rand;
 	struct fg_balance_query ask = {
 		.service = "s",
-		.terms = &engine,
+		.svc = &engine,
 		.region = "r1",
 		.adapter = ADAPTER_KEY,
 		.model = MODEL_KEY,
-		.tokens = 100,
+		.prompt_tokens = 100,
 		.tokens_per_s = tokens_per_s,
 	};
 
@@ -333,7 +333,7 @@
 	struct fg_fleet_ep *far = put(f, 1000, "w1", false);
 	struct fg_rand rand;
 	struct fg_balance_query ask = { .service = "s",
-					.terms = &plain,
+					.svc = &plain,
 					.region = "r1" };
 
 	fg_rand_seed(&rand, 1);
@@ -359,7 +359,7 @@
 	struct fg_fleet *f = make();
 	struct fg_balance_query ask = {
 		.service = "s",
-		.terms = &engine,
+		.svc = &engine,
 		.region = "r1",
 		.adapter = ADAPTER_KEY,
 	};
@@ -376,7 +376,7 @@
 		ep->pending_tokens = 25 * 100 * (uint32_t)((i * 5) % 6);
 	}
 	fg_rand_seed(&rand, 1);
-	g_assert_cmpuint(fg_balance_top(&conf, f, 2000, &ask, &rand, out, 3),
+	g_assert_cmpuint(fg_balance_rank(&conf, f, 2000, &ask, &rand, out, 3),
 			 ==, 3);
 	/* Waits of 0, 100 and 200 ms. */
 	g_assert_cmpstr(out[0].ep->facts.id, ==, "e0");
@@ -386,7 +386,7 @@
 	g_assert_true(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep ==
 		      out[0].ep);
 	ask.service = "none";
-	g_assert_cmpuint(fg_balance_top(&conf, f, 2000, &ask, &rand, out, 3),
+	g_assert_cmpuint(fg_balance_rank(&conf, f, 2000, &ask, &rand, out, 3),
 			 ==, 0);
 	fg_fleet_free(f);
 }
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -240,13 +240,13 @@
 	r = fg_routes_find(t, "h.EXAMPLE:80", "/a/x?q=/a/b/");
 	g_assert_cmpstr(r->name, ==, "r1");
 	g_assert_true(r->resumable);
-	g_assert_false(r->repeatable);
+	g_assert_false(r->idempotent);
 	g_assert_cmpuint(r->timeout_ms, ==, 12000);
 	r = fg_routes_find(t, "h.example", "/a/b/c");
 	g_assert_cmpstr(r->name, ==, "r2");
-	g_assert_true(r->repeatable);
+	g_assert_true(r->idempotent);
 	for (uint64_t draw = 0; draw < 100; draw++)
-		to_second += fg_route_service(r, draw);
+		to_second += fg_route_choose_service(r, draw);
 	g_assert_cmpuint(to_second, ==, 10);
 	g_assert_null(fg_routes_find(t, "h.example", "/a"));
 	g_assert_null(fg_routes_find(t, "other", "/a/"));
@@ -392,15 +392,15 @@
 	n = fg_events_feed(&e, "id: 4\ndata: x\n\nid: 5\nda", 23);
 	g_assert_cmpint(n, ==, 15);
 	g_assert_cmpuint(e.last_id, ==, 4);
-	fg_events_took(&e, (size_t)n);
+	fg_events_consume(&e, (size_t)n);
 	n = fg_events_feed(&e, "ta: y\r\n\r\n", 9);
 	g_assert_cmpuint(e.last_id, ==, 5);
-	fg_events_took(&e, (size_t)n);
-	g_assert_cmpuint(e.rest->len, ==, 0);
-	g_assert_cmpuint(e.whole, ==, 2);
+	fg_events_consume(&e, (size_t)n);
+	g_assert_cmpuint(e.partial->len, ==, 0);
+	g_assert_cmpuint(e.n_complete, ==, 2);
 	/* A begun event is forgotten when another endpoint goes on. */
 	fg_events_feed(&e, "id: 6\n", 6);
-	fg_events_restart(&e);
+	fg_events_drop_partial(&e);
 	g_assert_cmpuint(e.last_id, ==, 5);
 	fg_events_clear(&e);
 }
