--- a/lib/run/fg_run.c
+++ b/lib/run/fg_run.c
@@ -246,7 +246,7 @@
 	return __atomic_load_n(&run->in_web, __ATOMIC_ACQUIRE) == 0;
 }
 
-bool fg_run_stopped(struct fg_run *run)
+bool fg_run_is_stopped(struct fg_run *run)
 {
 	bool stopped;
 
--- a/lib/run/fg_run.h
+++ b/lib/run/fg_run.h
@@ -38,7 +38,7 @@
 void fg_run_stop(struct fg_run *run);
 
 /* True when the planned stop is complete. */
-bool fg_run_stopped(struct fg_run *run);
+bool fg_run_is_stopped(struct fg_run *run);
 
 /* Ends all threads and frees. */
 void fg_run_free(struct fg_run *run);
--- a/programs/fg-entry.c
+++ b/programs/fg-entry.c
@@ -41,7 +41,7 @@
 {
 	bool stopping = false;
 
-	while (!fg_run_stopped(run)) {
+	while (!fg_run_is_stopped(run)) {
 		if (stop_asked && !stopping) {
 			stopping = true;
 			fg_log(FG_LOG_INFO, "entry", "stopping", NULL);
