--- a/lib/config/fg_config.c
+++ b/lib/config/fg_config.c
@@ -1,4 +1,4 @@
-/* The catalogue's tables and lookups. */
+/* Tables of the catalogue and lookups in them. */
 #include "config/fg_config.h"
 
 #include <string.h>
@@ -20,7 +20,7 @@
 	{ "maintenance", 50, 0, 10, 0, false },
 };
 
-static const struct fg_service default_service = {
+static const struct fg_service builtin_service_defaults = {
 	.name = "",
 	.plain = false,
 	.checks_fence = false,
@@ -29,7 +29,7 @@
 	.load_ms = 250,
 };
 
-/* ---- Records ---- */
+/* ---- Adapter records ---- */
 
 struct fg_adapter_ent *fg_adapter_ent_new(uint32_t number, const char *base,
 					  const char *name)
@@ -58,7 +58,8 @@
 	g_free(a);
 }
 
-size_t fg_adapter_ent_version(const struct fg_adapter_ent *a, const char *name)
+size_t fg_adapter_ent_find_version(const struct fg_adapter_ent *a,
+				   const char *name)
 {
 	for (size_t i = 0; i < a->n_versions; i++)
 		if (strcmp(a->versions[i].name, name) == 0)
@@ -66,21 +67,21 @@
 	return a->n_versions;
 }
 
-void fg_adapter_ent_version_insert(struct fg_adapter_ent *a, size_t index,
+void fg_adapter_ent_insert_version(struct fg_adapter_ent *a, size_t index,
 				   struct fg_version_ent version)
 {
-	size_t after = a->n_versions - index;
+	size_t n_after = a->n_versions - index;
 
 	a->versions =
 		g_renew(struct fg_version_ent, a->versions, a->n_versions + 1);
 	memmove(&a->versions[index + 1], &a->versions[index],
-		after * sizeof(version));
+		n_after * sizeof(version));
 	a->versions[index] = version;
 	a->n_versions++;
 }
 
-struct fg_version_ent fg_adapter_ent_version_take(struct fg_adapter_ent *a,
-						  size_t index)
+struct fg_version_ent fg_adapter_ent_remove_version(struct fg_adapter_ent *a,
+						    size_t index)
 {
 	struct fg_version_ent version = a->versions[index];
 
@@ -90,8 +91,8 @@
 	return version;
 }
 
-size_t fg_adapter_ent_caller(const struct fg_adapter_ent *a, const char *caller,
-			     bool *found)
+size_t fg_adapter_ent_find_caller(const struct fg_adapter_ent *a,
+				  const char *caller, bool *found)
 {
 	size_t low = 0;
 	size_t high = a->n_callers;
@@ -99,13 +100,13 @@
 	*found = false;
 	while (low < high) {
 		size_t mid = low + (high - low) / 2;
-		int order = strcmp(a->callers[mid], caller);
+		int cmp = strcmp(a->callers[mid], caller);
 
-		if (order == 0) {
+		if (cmp == 0) {
 			*found = true;
 			return mid;
 		}
-		if (order < 0)
+		if (cmp < 0)
 			low = mid + 1;
 		else
 			high = mid;
@@ -113,19 +114,19 @@
 	return low;
 }
 
-void fg_adapter_ent_caller_insert(struct fg_adapter_ent *a, size_t index,
+void fg_adapter_ent_insert_caller(struct fg_adapter_ent *a, size_t index,
 				  char *caller)
 {
-	size_t after = a->n_callers - index;
+	size_t n_after = a->n_callers - index;
 
 	a->callers = g_renew(char *, a->callers, a->n_callers + 1);
 	memmove(&a->callers[index + 1], &a->callers[index],
-		after * sizeof(*a->callers));
+		n_after * sizeof(*a->callers));
 	a->callers[index] = caller;
 	a->n_callers++;
 }
 
-char *fg_adapter_ent_caller_take(struct fg_adapter_ent *a, size_t index)
+char *fg_adapter_ent_remove_caller(struct fg_adapter_ent *a, size_t index)
 {
 	char *caller = a->callers[index];
 
@@ -137,7 +138,8 @@
 
 /* ---- The catalogue ---- */
 
-/* Murmur's finalizer spreads consecutive numbers over the table. */
+/* First steps of MurmurHash3's 32-bit finalizer; they spread consecutive
+ * numbers over the table. */
 static guint number_hash(gconstpointer key)
 {
 	uint32_t x = *(const uint32_t *)key;
@@ -153,7 +155,7 @@
 	return *(const uint32_t *)a == *(const uint32_t *)b;
 }
 
-static void free_by_number(gpointer key)
+static void free_adapter_by_number(gpointer key)
 {
 	fg_adapter_ent_free(ENT_OF(key, number));
 }
@@ -165,7 +167,7 @@
 	c->next_adapter = 1;
 	c->by_name = g_hash_table_new(g_str_hash, g_str_equal);
 	c->by_number = g_hash_table_new_full(number_hash, number_equal,
-					     free_by_number, NULL);
+					     free_adapter_by_number, NULL);
 	c->n_presets = G_N_ELEMENTS(builtin_presets);
 	memcpy(c->presets, builtin_presets, sizeof(builtin_presets));
 	return c;
@@ -190,8 +192,8 @@
 	return g_hash_table_size(c->by_number);
 }
 
-struct fg_adapter_ent *fg_config_ent(const struct fg_config *c,
-				     const char *name)
+struct fg_adapter_ent *fg_config_find_adapter(const struct fg_config *c,
+					      const char *name)
 {
 	gpointer key;
 
@@ -200,8 +202,8 @@
 	return ENT_OF(key, name);
 }
 
-struct fg_adapter_ent *fg_config_ent_number(const struct fg_config *c,
-					    uint32_t number)
+struct fg_adapter_ent *
+fg_config_find_adapter_by_number(const struct fg_config *c, uint32_t number)
 {
 	gpointer key;
 
@@ -210,13 +212,13 @@
 	return ENT_OF(key, number);
 }
 
-void fg_config_ent_insert(struct fg_config *c, struct fg_adapter_ent *a)
+void fg_config_insert_adapter(struct fg_config *c, struct fg_adapter_ent *a)
 {
 	g_hash_table_add(c->by_name, a->name);
 	g_hash_table_add(c->by_number, &a->number);
 }
 
-void fg_config_ent_steal(struct fg_config *c, struct fg_adapter_ent *a)
+void fg_config_detach_adapter(struct fg_config *c, struct fg_adapter_ent *a)
 {
 	g_hash_table_remove(c->by_name, a->name);
 	g_hash_table_steal(c->by_number, &a->number);
@@ -240,35 +242,36 @@
 	return i;
 }
 
-void fg_preset_defaults(struct fg_preset *p, const char *name)
+void fg_preset_set_defaults(struct fg_preset *p, const char *name)
 {
 	*p = builtin_presets[0];
 	g_strlcpy(p->name, name, sizeof(p->name));
 }
 
-void fg_service_defaults(struct fg_service *s, const char *name)
+void fg_service_set_defaults(struct fg_service *s, const char *name)
 {
-	*s = default_service;
+	*s = builtin_service_defaults;
 	g_strlcpy(s->name, name, sizeof(s->name));
 }
 
 /* ---- Lookups ---- */
 
-static bool may_use(const struct fg_adapter_ent *a, const char *caller)
+static bool has_right(const struct fg_adapter_ent *a, const char *caller)
 {
 	bool found;
 
-	fg_adapter_ent_caller(a, "*", &found);
+	fg_adapter_ent_find_caller(a, "*", &found);
 	if (!found && caller != NULL)
-		fg_adapter_ent_caller(a, caller, &found);
+		fg_adapter_ent_find_caller(a, caller, &found);
 	return found;
 }
 
-/* Index of the version, the newest for NULL or ""; n_versions if none. */
+/* Returns the index of a version, the newest for NULL or ""; n_versions when
+ * there is none. */
 static size_t find_version(const struct fg_adapter_ent *a, const char *version)
 {
 	if (version != NULL && version[0] != '\0')
-		return fg_adapter_ent_version(a, version);
+		return fg_adapter_ent_find_version(a, version);
 	return a->n_versions > 0 ? a->n_versions - 1u : 0;
 }
 
@@ -280,11 +283,12 @@
 	size_t index;
 
 	*av = (fg_av){ 0, 0 };
-	a = adapter != NULL ? fg_config_ent(c, adapter) : NULL;
+	a = adapter != NULL ? fg_config_find_adapter(c, adapter) : NULL;
 	if (a == NULL)
 		return FG_R_UNKNOWN_ADAPTER;
-	/* Before the version: callers without the right learn nothing more. */
-	if (!may_use(a, caller))
+	/* Checked before the version, so that callers without the right do not
+	 * learn which versions exist. */
+	if (!has_right(a, caller))
 		return FG_R_NO_RIGHT;
 	if (a->n_versions == 0)
 		return FG_R_UNKNOWN_VERSION;
@@ -297,14 +301,16 @@
 
 const char *fg_config_adapter_name(const struct fg_config *c, fg_av av)
 {
-	const struct fg_adapter_ent *a = fg_config_ent_number(c, av.adapter);
+	const struct fg_adapter_ent *a =
+		fg_config_find_adapter_by_number(c, av.adapter);
 
 	return a != NULL ? a->name : NULL;
 }
 
 const char *fg_config_version_name(const struct fg_config *c, fg_av av)
 {
-	const struct fg_adapter_ent *a = fg_config_ent_number(c, av.adapter);
+	const struct fg_adapter_ent *a =
+		fg_config_find_adapter_by_number(c, av.adapter);
 
 	for (size_t i = 0; a != NULL && i < a->n_versions; i++)
 		if (a->versions[i].ver == av.ver)
@@ -314,7 +320,8 @@
 
 const char *fg_config_adapter_base(const struct fg_config *c, fg_av av)
 {
-	const struct fg_adapter_ent *a = fg_config_ent_number(c, av.adapter);
+	const struct fg_adapter_ent *a =
+		fg_config_find_adapter_by_number(c, av.adapter);
 
 	return a != NULL ? a->base : NULL;
 }
@@ -322,7 +329,7 @@
 fg_av fg_config_find_version(const struct fg_config *c, const char *adapter,
 			     const char *version)
 {
-	const struct fg_adapter_ent *a = fg_config_ent(c, adapter);
+	const struct fg_adapter_ent *a = fg_config_find_adapter(c, adapter);
 	size_t index;
 
 	if (a == NULL)
@@ -343,5 +350,6 @@
 {
 	size_t index = fg_config_service_index(c, name);
 
-	return index < c->n_services ? &c->services[index] : &default_service;
+	return index < c->n_services ? &c->services[index]
+				     : &builtin_service_defaults;
 }
--- a/lib/config/fg_config_read.c
+++ b/lib/config/fg_config_read.c
@@ -1,9 +1,9 @@
-/* Reading JSON of changes and snapshots: names, ranges, formats. */
+/* Parses what changes and snapshots share: format numbers, names, fields. */
 #include <string.h>
 
 #include "config/fg_config_priv.h"
 
-bool fg_config_name_ok(const char *name)
+bool fg_config_is_valid_name(const char *name)
 {
 	size_t len = strlen(name);
 
@@ -18,7 +18,7 @@
 	return g_utf8_validate(name, (gssize)len, NULL);
 }
 
-bool fg_config_format_ok(const json_t *obj, GError **error)
+bool fg_config_check_format(const json_t *obj, GError **error)
 {
 	const json_t *format = json_object_get(obj, "format");
 
@@ -38,29 +38,30 @@
 
 json_t *fg_config_parse(const char *text, GError **error)
 {
-	json_error_t why;
-	json_t *obj = json_loads(text, JSON_REJECT_DUPLICATES, &why);
+	json_error_t json_err;
+	json_t *obj = json_loads(text, JSON_REJECT_DUPLICATES, &json_err);
 
 	if (obj == NULL) {
 		g_set_error(error, FG_CONFIG_ERROR, FG_CONFIG_ERR_SYNTAX,
-			    "not JSON: %s", why.text);
+			    "not JSON: %s", json_err.text);
 		return NULL;
 	}
-	if (fg_config_format_ok(obj, error))
+	if (fg_config_check_format(obj, error))
 		return obj;
 	json_decref(obj);
 	return NULL;
 }
 
-/* One field of a preset or service. */
-struct field {
+/* Name, destination and range of a field of a preset or service. */
+struct field_spec {
 	const char *name;
 	void *value; /* uint32_t * or, when max is 0, bool * */
 	uint32_t min;
 	uint32_t max;
 };
 
-static bool read_field(const struct field *f, const json_t *obj, GError **error)
+static bool parse_field(const struct field_spec *f, const json_t *obj,
+			GError **error)
 {
 	const json_t *v = json_object_get(obj, f->name);
 	json_int_t number = json_integer_value(v);
@@ -86,18 +87,18 @@
 	return false;
 }
 
-static bool read_fields(const struct field *f, size_t n, const json_t *obj,
-			GError **error)
+static bool parse_fields(const struct field_spec *f, size_t n,
+			 const json_t *obj, GError **error)
 {
 	for (size_t i = 0; i < n; i++)
-		if (!read_field(&f[i], obj, error))
+		if (!parse_field(&f[i], obj, error))
 			return false;
 	return true;
 }
 
-bool fg_preset_read(struct fg_preset *p, const json_t *obj, GError **error)
+bool fg_preset_parse(struct fg_preset *p, const json_t *obj, GError **error)
 {
-	const struct field fields[] = {
+	const struct field_spec fields[] = {
 		{ "stall_weight", &p->stall_weight, 0, 100 },
 		{ "hold_max_ms", &p->hold_max_ms, 0, 600000 },
 		{ "retry_percent", &p->retry_percent, 0, 100 },
@@ -105,12 +106,12 @@
 		{ "accept_drafts", &p->accept_drafts, 0, 0 },
 	};
 
-	return read_fields(fields, G_N_ELEMENTS(fields), obj, error);
+	return parse_fields(fields, G_N_ELEMENTS(fields), obj, error);
 }
 
-bool fg_service_read(struct fg_service *s, const json_t *obj, GError **error)
+bool fg_service_parse(struct fg_service *s, const json_t *obj, GError **error)
 {
-	const struct field fields[] = {
+	const struct field_spec fields[] = {
 		{ "plain", &s->plain, 0, 0 },
 		{ "checks_fence", &s->checks_fence, 0, 0 },
 		{ "loads_per_s", &s->loads_per_s, 1, 10000 },
@@ -118,5 +119,5 @@
 		{ "load_ms", &s->load_ms, 1, 600000 },
 	};
 
-	return read_fields(fields, G_N_ELEMENTS(fields), obj, error);
+	return parse_fields(fields, G_N_ELEMENTS(fields), obj, error);
 }
--- a/lib/config/fg_config_snapshot.c
+++ b/lib/config/fg_config_snapshot.c
@@ -1,18 +1,18 @@
 /*
- * Snapshots of the catalogue. They are written straight into text and read in
- * parts, since a parsed tree of 65,000 adapters would need several times the
- * memory of the catalogue itself.
+ * Snapshots of the catalogue. They are written directly as text and read in
+ * parts: the JSON tree of 65,000 adapters would take several times the memory
+ * of the catalogue itself.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "config/fg_config_priv.h"
 
-#define TAIL_BYTES 32 /* room for what closes a part */
+#define PART_END_BYTES 32 /* reserved for the end of a part */
 
 /* ---- Writing ---- */
 
-static void put_string(GString *out, const char *s)
+static void append_string(GString *out, const char *s)
 {
 	g_string_append_c(out, '"');
 	for (; *s != '\0'; s++) {
@@ -28,10 +28,10 @@
 	return value ? "true" : "false";
 }
 
-static void put_preset(GString *out, const struct fg_preset *p)
+static void append_preset(GString *out, const struct fg_preset *p)
 {
 	g_string_append(out, "{\"preset\":");
-	put_string(out, p->name);
+	append_string(out, p->name);
 	g_string_append_printf(out,
 			       ",\"stall_weight\":%u,\"hold_max_ms\":%u,"
 			       "\"retry_percent\":%u,\"caller_rate\":%u,"
@@ -41,10 +41,10 @@
 			       bool_text(p->accept_drafts));
 }
 
-static void put_service(GString *out, const struct fg_service *s)
+static void append_service(GString *out, const struct fg_service *s)
 {
 	g_string_append(out, "{\"service\":");
-	put_string(out, s->name);
+	append_string(out, s->name);
 	g_string_append_printf(out,
 			       ",\"plain\":%s,\"checks_fence\":%s,"
 			       "\"loads_per_s\":%u,\"loads_in_flight\":%u,"
@@ -53,47 +53,47 @@
 			       s->loads_per_s, s->loads_in_flight, s->load_ms);
 }
 
-static void put_head(GString *out, const struct fg_config *c)
+static void append_head(GString *out, const struct fg_config *c)
 {
 	g_string_append(out, "\"head\":{\"preset\":");
-	put_string(out, fg_config_preset(c)->name);
+	append_string(out, fg_config_preset(c)->name);
 	g_string_append_printf(out, ",\"next_adapter\":%u,\"presets\":[",
 			       c->next_adapter);
 	for (size_t i = 0; i < c->n_presets; i++) {
 		g_string_append(out, i > 0 ? ",\n" : "\n");
-		put_preset(out, &c->presets[i]);
+		append_preset(out, &c->presets[i]);
 	}
 	g_string_append(out, "],\"services\":[");
 	for (size_t i = 0; i < c->n_services; i++) {
 		g_string_append(out, i > 0 ? ",\n" : "\n");
-		put_service(out, &c->services[i]);
+		append_service(out, &c->services[i]);
 	}
 	g_string_append(out, "]},");
 }
 
-static void put_adapter(GString *out, const struct fg_adapter_ent *a)
+static void append_adapter(GString *out, const struct fg_adapter_ent *a)
 {
 	g_string_append_printf(out, "[%u,", a->number);
-	put_string(out, a->name);
+	append_string(out, a->name);
 	g_string_append_c(out, ',');
-	put_string(out, a->base);
+	append_string(out, a->base);
 	g_string_append_printf(out, ",%u,[", a->next_ver);
 	for (uint32_t i = 0; i < a->n_versions; i++) {
 		g_string_append_printf(out, "%s[%u,", i > 0 ? "," : "",
 				       a->versions[i].ver);
-		put_string(out, a->versions[i].name);
+		append_string(out, a->versions[i].name);
 		g_string_append_c(out, ']');
 	}
 	g_string_append(out, "],[");
 	for (uint32_t i = 0; i < a->n_callers; i++) {
 		if (i > 0)
 			g_string_append_c(out, ',');
-		put_string(out, a->callers[i]);
+		append_string(out, a->callers[i]);
 	}
 	g_string_append(out, "]]");
 }
 
-static int by_number(const void *a, const void *b)
+static int compare_by_number(const void *a, const void *b)
 {
 	uint32_t x = **(uint32_t *const *)a;
 	uint32_t y = **(uint32_t *const *)b;
@@ -101,7 +101,7 @@
 	return (x > y) - (x < y);
 }
 
-static GString *part_begin(const struct fg_config *c, guint part)
+static GString *begin_part(const struct fg_config *c, guint part)
 {
 	GString *out = g_string_new(NULL);
 
@@ -110,12 +110,12 @@
 			       ",\"part\":%u,",
 			       FG_CONFIG_FORMAT, c->revision, part);
 	if (part == 0)
-		put_head(out, c);
+		append_head(out, c);
 	g_string_append(out, "\"adapters\":[");
 	return out;
 }
 
-static void part_end(GPtrArray *parts, GString *out, bool last)
+static void end_part(GPtrArray *parts, GString *out, bool last)
 {
 	g_string_append_printf(out, "],\"last\":%s}", bool_text(last));
 	g_ptr_array_add(parts, g_string_free(out, FALSE));
@@ -126,28 +126,30 @@
 	GPtrArray *parts = g_ptr_array_new_with_free_func(g_free);
 	guint n = 0;
 	gpointer *keys = g_hash_table_get_keys_as_array(c->by_number, &n);
-	GString *out = part_begin(c, 0);
-	GString *one = g_string_new(NULL);
+	GString *out = begin_part(c, 0);
+	GString *row = g_string_new(NULL);
 	bool first = true;
 
 	if (n > 0)
-		qsort(keys, n, sizeof(*keys), by_number);
+		qsort(keys, n, sizeof(*keys), compare_by_number);
 	for (guint i = 0; i < n; i++) {
 		const uint32_t *number = keys[i];
 
-		g_string_truncate(one, 0);
-		put_adapter(one, fg_config_ent_number(c, *number));
-		if (!first && out->len + one->len + TAIL_BYTES > max_bytes) {
-			part_end(parts, out, false);
-			out = part_begin(c, parts->len);
+		g_string_truncate(row, 0);
+		append_adapter(row,
+			       fg_config_find_adapter_by_number(c, *number));
+		if (!first &&
+		    out->len + row->len + PART_END_BYTES > max_bytes) {
+			end_part(parts, out, false);
+			out = begin_part(c, parts->len);
 			first = true;
 		}
 		g_string_append(out, first ? "\n" : ",\n");
-		g_string_append_len(out, one->str, (gssize)one->len);
+		g_string_append_len(out, row->str, (gssize)row->len);
 		first = false;
 	}
-	part_end(parts, out, true);
-	g_string_free(one, TRUE);
+	end_part(parts, out, true);
+	g_string_free(row, TRUE);
 	g_free(keys);
 	return parts;
 }
@@ -165,7 +167,7 @@
 
 struct fg_config_loader {
 	struct fg_config *c;
-	uint32_t next; /* part expected */
+	uint32_t next_part;
 	bool complete;
 };
 
@@ -192,25 +194,25 @@
 
 uint32_t fg_config_loader_next_part(const struct fg_config_loader *l)
 {
-	return l->next;
+	return l->next_part;
 }
 
-static bool broken(GError **error, const char *what)
+static bool set_syntax_error(GError **error, const char *message)
 {
 	g_set_error(error, FG_CONFIG_ERROR, FG_CONFIG_ERR_SYNTAX,
-		    "snapshot: %s", what);
+		    "snapshot: %s", message);
 	return false;
 }
 
-/* A name out of an array or object; NULL when it is none. */
-static const char *name_of(const json_t *v)
+/* Returns a valid name, NULL for anything else. */
+static const char *parse_name(const json_t *v)
 {
 	const char *name = json_string_value(v);
 
-	return name != NULL && fg_config_name_ok(name) ? name : NULL;
+	return name != NULL && fg_config_is_valid_name(name) ? name : NULL;
 }
 
-static bool number_of(const json_t *v, uint32_t *out)
+static bool parse_number(const json_t *v, uint32_t *out)
 {
 	json_int_t number = json_integer_value(v);
 
@@ -218,7 +220,7 @@
 	return json_is_integer(v) && number >= 1 && number <= UINT32_MAX;
 }
 
-static bool load_versions(struct fg_adapter_ent *a, const json_t *versions)
+static bool parse_versions(struct fg_adapter_ent *a, const json_t *versions)
 {
 	size_t n = json_array_size(versions);
 	uint32_t last = 0;
@@ -227,124 +229,132 @@
 		return false;
 	for (size_t i = 0; i < n; i++) {
 		const json_t *pair = json_array_get(versions, i);
-		const char *name = name_of(json_array_get(pair, 1));
+		const char *name = parse_name(json_array_get(pair, 1));
 		struct fg_version_ent v;
 
-		if (!number_of(json_array_get(pair, 0), &v.ver) ||
+		if (!parse_number(json_array_get(pair, 0), &v.ver) ||
 		    v.ver <= last || v.ver >= a->next_ver || name == NULL ||
-		    fg_adapter_ent_version(a, name) < a->n_versions)
+		    fg_adapter_ent_find_version(a, name) < a->n_versions)
 			return false;
 		v.name = g_ref_string_new_intern(name);
 		last = v.ver;
-		fg_adapter_ent_version_insert(a, i, v);
+		fg_adapter_ent_insert_version(a, i, v);
 	}
 	return true;
 }
 
-static bool load_callers(struct fg_adapter_ent *a, const json_t *callers)
+static bool parse_callers(struct fg_adapter_ent *a, const json_t *callers)
 {
 	size_t n = json_array_size(callers);
 
 	if (!json_is_array(callers) || n > FG_CONFIG_CALLERS_MAX)
 		return false;
 	for (size_t i = 0; i < n; i++) {
-		const char *name = name_of(json_array_get(callers, i));
+		const char *name = parse_name(json_array_get(callers, i));
 		bool found;
 		size_t at;
 
 		if (name == NULL)
 			return false;
-		at = fg_adapter_ent_caller(a, name, &found);
+		at = fg_adapter_ent_find_caller(a, name, &found);
 		if (found)
 			return false;
-		fg_adapter_ent_caller_insert(a, at,
+		fg_adapter_ent_insert_caller(a, at,
 					     g_ref_string_new_intern(name));
 	}
 	return true;
 }
 
-static bool load_adapter(struct fg_config *c, const json_t *row)
+static bool parse_adapter(struct fg_config *c, const json_t *row)
 {
-	const char *name = name_of(json_array_get(row, 1));
-	const char *base = name_of(json_array_get(row, 2));
+	const char *name = parse_name(json_array_get(row, 1));
+	const char *base = parse_name(json_array_get(row, 2));
 	struct fg_adapter_ent *a;
 	uint32_t number;
 
 	if (name == NULL || base == NULL ||
-	    !number_of(json_array_get(row, 0), &number) ||
-	    number >= c->next_adapter || fg_config_ent(c, name) != NULL ||
-	    fg_config_ent_number(c, number) != NULL)
+	    !parse_number(json_array_get(row, 0), &number) ||
+	    number >= c->next_adapter ||
+	    fg_config_find_adapter(c, name) != NULL ||
+	    fg_config_find_adapter_by_number(c, number) != NULL)
 		return false;
 	a = fg_adapter_ent_new(number, base, name);
-	fg_config_ent_insert(c, a);
-	return number_of(json_array_get(row, 3), &a->next_ver) &&
-	       load_versions(a, json_array_get(row, 4)) &&
-	       load_callers(a, json_array_get(row, 5));
+	fg_config_insert_adapter(c, a);
+	return parse_number(json_array_get(row, 3), &a->next_ver) &&
+	       parse_versions(a, json_array_get(row, 4)) &&
+	       parse_callers(a, json_array_get(row, 5));
 }
 
-static bool load_presets(struct fg_config *c, const json_t *list,
-			 GError **error)
+static bool parse_presets(struct fg_config *c, const json_t *list,
+			  GError **error)
 {
 	size_t n = json_array_size(list);
 
 	if (n == 0 || n > FG_CONFIG_PRESETS_MAX)
-		return broken(error, "presets missing or too many");
+		return set_syntax_error(error, "presets missing or too many");
 	c->n_presets = 0;
 	for (size_t i = 0; i < n; i++) {
 		const json_t *obj = json_array_get(list, i);
-		const char *name = name_of(json_object_get(obj, "preset"));
+		const char *name = parse_name(json_object_get(obj, "preset"));
 
 		if (name == NULL || fg_config_preset_index(c, name) != i)
-			return broken(error, "bad name of a preset");
-		fg_preset_defaults(&c->presets[i], name);
-		if (!fg_preset_read(&c->presets[i], obj, error))
+			return set_syntax_error(
+				error,
+				"preset name missing, invalid or repeated");
+		fg_preset_set_defaults(&c->presets[i], name);
+		if (!fg_preset_parse(&c->presets[i], obj, error))
 			return false;
 		c->n_presets++;
 	}
 	return true;
 }
 
-static bool load_services(struct fg_config *c, const json_t *list,
-			  GError **error)
+static bool parse_services(struct fg_config *c, const json_t *list,
+			   GError **error)
 {
 	size_t n = json_array_size(list);
 
 	if (!json_is_array(list) || n > FG_CONFIG_SERVICES_MAX)
-		return broken(error, "services missing or too many");
+		return set_syntax_error(error, "services missing or too many");
 	for (size_t i = 0; i < n; i++) {
 		const json_t *obj = json_array_get(list, i);
-		const char *name = name_of(json_object_get(obj, "service"));
+		const char *name = parse_name(json_object_get(obj, "service"));
 
 		if (name == NULL || fg_config_service_index(c, name) != i)
-			return broken(error, "bad name of a service");
-		fg_service_defaults(&c->services[i], name);
-		if (!fg_service_read(&c->services[i], obj, error))
+			return set_syntax_error(
+				error,
+				"service name missing, invalid or repeated");
+		fg_service_set_defaults(&c->services[i], name);
+		if (!fg_service_parse(&c->services[i], obj, error))
 			return false;
 		c->n_services++;
 	}
 	return true;
 }
 
-static bool load_head(struct fg_config *c, const json_t *head, GError **error)
+static bool parse_head(struct fg_config *c, const json_t *head, GError **error)
 {
-	const char *preset = name_of(json_object_get(head, "preset"));
-
-	if (!number_of(json_object_get(head, "next_adapter"), &c->next_adapter))
-		return broken(error, "next_adapter missing");
-	if (!load_presets(c, json_object_get(head, "presets"), error) ||
-	    !load_services(c, json_object_get(head, "services"), error))
+	const char *preset = parse_name(json_object_get(head, "preset"));
+
+	if (!parse_number(json_object_get(head, "next_adapter"),
+			  &c->next_adapter))
+		return set_syntax_error(error,
+					"next_adapter missing or out of range");
+	if (!parse_presets(c, json_object_get(head, "presets"), error) ||
+	    !parse_services(c, json_object_get(head, "services"), error))
 		return false;
 	if (preset == NULL)
-		return broken(error, "preset in force missing");
+		return set_syntax_error(error, "preset in force missing");
 	c->in_force = fg_config_preset_index(c, preset);
 	if (c->in_force < c->n_presets)
 		return true;
 	c->in_force = 0;
-	return broken(error, "preset in force unknown");
+	return set_syntax_error(error,
+				"preset in force is not among the presets");
 }
 
-static bool load_part(struct fg_config_loader *l, const json_t *obj,
-		      GError **error)
+static bool add_part(struct fg_config_loader *l, const json_t *obj,
+		     GError **error)
 {
 	const json_t *adapters = json_object_get(obj, "adapters");
 	const json_t *part = json_object_get(obj, "part");
@@ -352,21 +362,22 @@
 
 	revision = json_integer_value(json_object_get(obj, "revision"));
 	if (l->complete || !json_is_integer(part) ||
-	    json_integer_value(part) != l->next)
-		return broken(error, "part out of order");
+	    json_integer_value(part) != l->next_part)
+		return set_syntax_error(error, "part out of order");
 	if (revision < 0 ||
-	    (l->next > 0 && (uint64_t)revision != l->c->revision))
-		return broken(error, "part of another revision");
+	    (l->next_part > 0 && (uint64_t)revision != l->c->revision))
+		return set_syntax_error(error,
+					"part belongs to another revision");
 	l->c->revision = (uint64_t)revision;
-	if (l->next == 0 &&
-	    !load_head(l->c, json_object_get(obj, "head"), error))
+	if (l->next_part == 0 &&
+	    !parse_head(l->c, json_object_get(obj, "head"), error))
 		return false;
 	if (!json_is_array(adapters))
-		return broken(error, "adapters missing");
+		return set_syntax_error(error, "adapters missing");
 	for (size_t i = 0; i < json_array_size(adapters); i++)
-		if (!load_adapter(l->c, json_array_get(adapters, i)))
-			return broken(error, "bad adapter");
-	l->next++;
+		if (!parse_adapter(l->c, json_array_get(adapters, i)))
+			return set_syntax_error(error, "invalid adapter");
+	l->next_part++;
 	l->complete = json_is_true(json_object_get(obj, "last"));
 	return true;
 }
@@ -375,7 +386,7 @@
 			       GError **error)
 {
 	json_t *obj = fg_config_parse(part, error);
-	bool ok = obj != NULL && load_part(l, obj, error);
+	bool ok = obj != NULL && add_part(l, obj, error);
 
 	json_decref(obj);
 	return ok;
@@ -400,7 +411,7 @@
 
 	if (!fg_config_loader_add_part(l, snapshot, error) || !l->complete) {
 		if (error == NULL || *error == NULL)
-			broken(error, "incomplete");
+			set_syntax_error(error, "last part missing");
 		fg_config_loader_free(l);
 		return false;
 	}
--- a/lib/config/fg_confsync_rows.c
+++ b/lib/config/fg_confsync_rows.c
@@ -4,19 +4,19 @@
 
 #include "config/fg_confsync_priv.h"
 
-void cs_rev_key(char *key, uint64_t revision)
+void cs_format_rev_key(char *key, uint64_t revision)
 {
 	g_snprintf(key, FG_ROW_KEY_MAX, "config/rev/%012" PRIu64, revision);
 }
 
-/* The first ten of twelve digits are shared by a hundred revisions. */
-void cs_block_prefix(char *key, uint64_t revision)
+/* CS_BLOCK_REVISIONS revisions share the first ten of twelve digits. */
+void cs_format_block_prefix(char *key, uint64_t revision)
 {
 	g_snprintf(key, FG_ROW_KEY_MAX, "config/rev/%010" PRIu64,
 		   revision / CS_BLOCK_REVISIONS);
 }
 
-void cs_part_key(char *key, uint64_t snapshot, guint part)
+void cs_format_part_key(char *key, uint64_t snapshot, guint part)
 {
 	g_snprintf(key, FG_ROW_KEY_MAX, "config/snap/%012" PRIu64 "/%04u",
 		   snapshot, part);
@@ -38,7 +38,7 @@
 	{ "deltas_from", offsetof(struct cs_head, deltas_from) },
 };
 
-static bool head_parse(struct cs_head *h, const char *text, GError **error)
+static bool parse_head_text(struct cs_head *h, const char *text, GError **error)
 {
 	json_t *obj = fg_config_parse(text, error);
 	bool ok = obj != NULL;
@@ -52,15 +52,16 @@
 		*(uint64_t *)at = (uint64_t)number;
 		if (!ok)
 			g_set_error(error, FG_CONFIG_ERROR,
-				    FG_CONFIG_ERR_SYNTAX, "\"%s\" missing",
+				    FG_CONFIG_ERR_SYNTAX,
+				    "\"%s\" missing or not a whole number",
 				    head_fields[i].name);
 	}
 	json_decref(obj);
 	return ok;
 }
 
-bool cs_head_read(struct cs_head *h, const struct fg_table_result *res,
-		  GError **error)
+bool cs_parse_head(struct cs_head *h, const struct fg_table_result *res,
+		   GError **error)
 {
 	memset(h, 0, sizeof(*h));
 	h->deltas_from = 1;
@@ -68,14 +69,14 @@
 		return true;
 	if (res->n_rows != 1 || res->rows[0].value == NULL) {
 		g_set_error(error, FG_CONFIG_ERROR, FG_CONFIG_ERR_SYNTAX,
-			    "no value");
+			    "row has no value");
 		return false;
 	}
 	h->row_version = res->rows[0].row_version;
-	return head_parse(h, res->rows[0].value, error);
+	return parse_head_text(h, res->rows[0].value, error);
 }
 
-char *cs_head_text(const struct cs_head *h)
+char *cs_format_head(const struct cs_head *h)
 {
 	GString *out = g_string_new(NULL);
 
@@ -93,7 +94,7 @@
 
 /* ---- Changes ---- */
 
-char *cs_change_text(const json_t *body, uint64_t revision, const char *nonce)
+char *cs_format_delta(const json_t *body, uint64_t revision, const char *nonce)
 {
 	json_t *obj = json_copy((json_t *)body);
 	char *dumped;
@@ -110,7 +111,7 @@
 	return text;
 }
 
-bool cs_nonce_is(const char *text, const char *nonce)
+bool cs_has_nonce(const char *text, const char *nonce)
 {
 	json_t *obj = json_loads(text, 0, NULL);
 	const char *found = json_string_value(json_object_get(obj, "nonce"));
--- a/tests/unit/confsync_sim.h
+++ b/tests/unit/confsync_sim.h
@@ -1,17 +1,18 @@
 /*
- * confsync_sim - several confsync instances over an in-memory table, driven
- * by one seed. Calls to the table and messages take random time, may be lost
- * before or after they take effect, and arrive after a pause or a cut.
+ * confsync_sim - several confsync instances over an in-memory table, driven by
+ * one seed. Table operations and messages take random time. They may be lost
+ * before or after they take effect, and are delayed or dropped while an
+ * instance is paused or cut off.
  *
  * The simulation asserts, at every step:
  *   - the revision of an instance only grows;
- *   - equal revisions have equal snapshots at all instances;
+ *   - instances with equal revisions have equal snapshots;
  *   - exactly one known preset is in force;
- *   - "accepted" means in force at every live instance that serves;
- *   - every change is answered once, in time, and its answer agrees with what
- *     the table holds in the end.
- * An instance serves once its revision was confirmed after its lease row was
- * written; until then it takes no work.
+ *   - "accepted" means in force at every live instance that is serving;
+ *   - every change is answered once, in time, and its answer agrees with the
+ *     final contents of the table.
+ * An instance serves, that is, takes work, once its revision was confirmed
+ * after its lease row was written.
  */
 #ifndef CONFSYNC_SIM_H
 #define CONFSYNC_SIM_H
@@ -19,9 +20,9 @@
 #include "base/fg_rand.h"
 #include "config/fg_config.h"
 
-#define SIM_NODES_MAX 8
+#define SIM_INSTANCES_MAX 8
 
-struct sim_node {
+struct sim_instance {
 	uint64_t id;
 	struct fg_config *c;
 	struct fg_confsync *s;
@@ -30,7 +31,7 @@
 	fg_ms registered_at;
 	fg_ms paused_until;
 	bool cut_platform;
-	bool cut[SIM_NODES_MAX];
+	bool cut[SIM_INSTANCES_MAX]; /* by index of the other instance */
 	uint64_t revision;
 };
 
@@ -44,20 +45,20 @@
 };
 
 struct sim_conf {
-	size_t nodes;
+	size_t n_instances;
 	uint32_t snapshot_every;
-	uint32_t lost_percent; /* table calls without an answer */
+	uint32_t lost_percent; /* table operations without an answer */
 	uint32_t drop_percent; /* messages */
-	uint32_t table_max_ms; /* slowest table call */
+	uint32_t table_max_ms; /* slowest table operation */
 	bool no_push;
 	bool no_pings;
 };
 
 struct sim {
 	struct sim_conf conf;
-	struct fg_rand r;
+	struct fg_rand rand;
 	fg_ms now;
-	struct sim_node node[SIM_NODES_MAX];
+	struct sim_instance instances[SIM_INSTANCES_MAX];
 	size_t n;
 	GHashTable *rows; /* key -> struct sim_row */
 	uint64_t row_version;
@@ -69,55 +70,57 @@
 	unsigned int reads;
 	unsigned int writes;
 	unsigned int msgs;
-	unsigned int snapshots; /* parts sent to peers */
+	unsigned int snapshot_parts_sent; /* to peers */
 	unsigned int statuses[FG_CHANGE_UNKNOWN + 1];
 };
 
+/* Starts conf->n_instances instances; freed with sim_free(). */
 struct sim *sim_new(const struct sim_conf *conf, uint64_t seed);
 void sim_free(struct sim *m);
 
-/* Runs until `until`. */
+/* Runs the simulation up to the given time. */
 void sim_run(struct sim *m, fg_ms until);
 
-/* Starts an instance with a new id in the place of node i. */
-void sim_start(struct sim *m, size_t i);
-void sim_crash(struct sim *m, size_t i);
+/* Starts an instance with a new id at index i. */
+void sim_start_instance(struct sim *m, size_t i);
+void sim_crash_instance(struct sim *m, size_t i);
 
-/* Sends a change to node i; returns it, valid until sim_free(). */
-struct sim_change *sim_change(struct sim *m, size_t i, const char *body,
-			      uint64_t expect, uint32_t wait_ms);
+/* Submits a change to instance i; the returned change is valid until
+ * sim_free(). */
+struct sim_change *sim_submit_change(struct sim *m, size_t i, const char *body,
+				     uint64_t expect, uint32_t wait_ms);
 
-/* A calm system: nothing is lost, cut or slow. */
-#define SIM_CALM                                                               \
+/* Nothing is lost, cut off or slow. */
+#define SIM_NO_FAULTS                                                          \
 	{                                                                      \
-		.nodes = 4, .snapshot_every = 1000, .table_max_ms = 20         \
+		.n_instances = 4, .snapshot_every = 1000, .table_max_ms = 20   \
 	}
-#define SIM_WAIT_MS 4000
+#define SIM_CHANGE_WAIT_MS 4000
 
-/* A change that adds adapter "c<id of the change>". */
-struct sim_change *sim_add(struct sim *m, size_t node, uint64_t expect);
+/* Submits a change that adds adapter "c<id of the change>". */
+struct sim_change *sim_add_adapter(struct sim *m, size_t i, uint64_t expect);
 
-uint64_t sim_revision(const struct sim *m, size_t i);
+uint64_t sim_instance_revision(const struct sim *m, size_t i);
 
-/* Ends all faults. */
-void sim_heal(struct sim *m);
+/* Ends all faults and restarts crashed instances. */
+void sim_clear_faults(struct sim *m);
 
-/* Head revision in the table; 0 when there is none. */
-uint64_t sim_head(struct sim *m);
+/* Returns the revision in config/head; 0 when there is no such row. */
+uint64_t sim_head_revision(struct sim *m);
 
-/* Runs a call on the table; confsync_sim_table.c. */
+/* Runs an operation on the table; the caller frees the result. */
 struct fg_table_result *sim_run_op(struct sim *m, const struct fg_table_op *op);
 void sim_row_free(gpointer row);
 
-/* Field of the row config/head; 0 when there is none. */
+/* Returns a field of config/head; 0 when there is no such row. */
 uint64_t sim_head_field(struct sim *m, const char *name);
 
-/* Reads and sets rows directly. */
-const char *sim_row(struct sim *m, const char *key);
-void sim_put(struct sim *m, const char *key, const char *value);
+/* Read and write a row directly. */
+const char *sim_get_row(struct sim *m, const char *key);
+void sim_put_row(struct sim *m, const char *key, const char *value);
 
-/* Asserts that all instances that are up agree with the table, and that
- * every answer given agrees with it too. */
-void sim_check_end(struct sim *m);
+/* Asserts that all instances agree with the table, and that every answer given
+ * agrees with the table too. */
+void sim_check_final_state(struct sim *m);
 
 #endif
--- a/tests/unit/confsync_sim_table.c
+++ b/tests/unit/confsync_sim_table.c
@@ -8,7 +8,7 @@
 	char *value; /* NULL: deleted */
 };
 
-static struct sim_row *row_at(struct sim *m, const char *key)
+static struct sim_row *get_or_add_row(struct sim *m, const char *key)
 {
 	struct sim_row *row = g_hash_table_lookup(m->rows, key);
 
@@ -25,16 +25,16 @@
 	g_free(p);
 }
 
-const char *sim_row(struct sim *m, const char *key)
+const char *sim_get_row(struct sim *m, const char *key)
 {
 	const struct sim_row *row = g_hash_table_lookup(m->rows, key);
 
 	return row != NULL ? row->value : NULL;
 }
 
-void sim_put(struct sim *m, const char *key, const char *value)
+void sim_put_row(struct sim *m, const char *key, const char *value)
 {
-	struct sim_row *row = row_at(m, key);
+	struct sim_row *row = get_or_add_row(m, key);
 
 	g_free(row->value);
 	row->value = g_strdup(value);
@@ -45,12 +45,12 @@
 				       const struct fg_table_op *op)
 {
 	const struct sim_row *row = g_hash_table_lookup(m->rows, op->key);
-	bool there = row != NULL && row->value != NULL;
+	bool exists = row != NULL && row->value != NULL;
 	struct fg_table_result *res = fg_table_result_new(
-		op->id, op->kind, there ? FG_PF_OK : FG_PF_ABSENT);
+		op->id, op->kind, exists ? FG_PF_OK : FG_PF_ABSENT);
 
 	m->reads++;
-	if (there)
+	if (exists)
 		fg_table_result_row(res, op->key, row->version, row->value);
 	return res;
 }
@@ -75,7 +75,7 @@
 	return res;
 }
 
-static bool holds(struct sim *m, const struct fg_write *w)
+static bool check_holds(struct sim *m, const struct fg_write *w)
 {
 	const struct sim_row *row = g_hash_table_lookup(m->rows, w->key);
 	uint64_t version = row != NULL && row->value != NULL ? row->version : 0;
@@ -90,11 +90,11 @@
 	g_assert_cmpuint(op->n_writes, <=, FG_TXN_MAX);
 	m->writes += op->n_writes;
 	for (size_t i = 0; i < op->n_writes; i++)
-		if (!holds(m, &op->writes[i]))
+		if (!check_holds(m, &op->writes[i]))
 			return fg_table_result_new(op->id, op->kind,
 						   FG_PF_CONFLICT);
 	for (size_t i = 0; i < op->n_writes; i++)
-		sim_put(m, op->writes[i].key, op->writes[i].value);
+		sim_put_row(m, op->writes[i].key, op->writes[i].value);
 	return fg_table_result_new(op->id, op->kind, FG_PF_OK);
 }
 
@@ -109,14 +109,14 @@
 
 uint64_t sim_head_field(struct sim *m, const char *name)
 {
-	const char *text = sim_row(m, "config/head");
+	const char *text = sim_get_row(m, "config/head");
 	g_autofree char *quoted = g_strdup_printf("\"%s\":", name);
 	const char *at = text != NULL ? strstr(text, quoted) : NULL;
 
 	return at != NULL ? g_ascii_strtoull(at + strlen(quoted), NULL, 10) : 0;
 }
 
-uint64_t sim_head(struct sim *m)
+uint64_t sim_head_revision(struct sim *m)
 {
 	return sim_head_field(m, "revision");
 }
--- a/tests/unit/fake_table.c
+++ b/tests/unit/fake_table.c
@@ -30,14 +30,15 @@
 	g_free(t);
 }
 
-static const struct fg_row *find(const struct fake_table *t, const char *key)
+static const struct fg_row *find_row(const struct fake_table *t,
+				     const char *key)
 {
 	return g_tree_lookup(t->rows, key);
 }
 
 const char *fake_table_get(const struct fake_table *t, const char *key)
 {
-	const struct fg_row *row = find(t, key);
+	const struct fg_row *row = find_row(t, key);
 
 	return row != NULL ? row->value : NULL;
 }
@@ -52,7 +53,7 @@
 	g_tree_replace(t->rows, row->key, row);
 }
 
-static void apply(struct fake_table *t, const struct fg_write *w)
+static void apply_write(struct fake_table *t, const struct fg_write *w)
 {
 	if (w->value != NULL)
 		fake_table_put(t, w->key, w->value);
@@ -60,13 +61,13 @@
 		g_tree_remove(t->rows, w->key);
 }
 
-/* The first write whose check does not hold; NULL when all do. */
-static const struct fg_write *first_conflict(const struct fake_table *t,
-					     const struct fg_table_op *op)
+/* Returns the first write whose check fails, NULL when all checks hold. */
+static const struct fg_write *find_conflict(const struct fake_table *t,
+					    const struct fg_table_op *op)
 {
 	for (size_t i = 0; i < op->n_writes; i++) {
 		const struct fg_write *w = &op->writes[i];
-		const struct fg_row *row = find(t, w->key);
+		const struct fg_row *row = find_row(t, w->key);
 		uint64_t have = row != NULL ? row->row_version : 0;
 
 		if (w->expect_version != FG_ANY_VERSION &&
@@ -76,7 +77,7 @@
 	return NULL;
 }
 
-static void add_row(struct fg_table_result *res, const struct fg_row *row)
+static void append_row(struct fg_table_result *res, const struct fg_row *row)
 {
 	fg_table_result_row(res, row->key, row->row_version, row->value);
 }
@@ -84,22 +85,22 @@
 static void run_txn(struct fake_table *t, const struct fg_table_op *op,
 		    struct fg_table_result *res)
 {
-	const struct fg_write *w = first_conflict(t, op);
+	const struct fg_write *w = find_conflict(t, op);
 
 	t->writes++;
 	if (w != NULL) {
 		res->result = FG_PF_CONFLICT;
-		if (find(t, w->key) != NULL)
-			add_row(res, find(t, w->key));
+		if (find_row(t, w->key) != NULL)
+			append_row(res, find_row(t, w->key));
 		else
 			fg_table_result_row(res, w->key, 0, NULL);
 		return;
 	}
 	for (size_t i = 0; i < op->n_writes; i++)
-		apply(t, &op->writes[i]);
+		apply_write(t, &op->writes[i]);
 	for (size_t i = 0; i < op->n_writes; i++)
-		if (find(t, op->writes[i].key) != NULL)
-			add_row(res, find(t, op->writes[i].key));
+		if (find_row(t, op->writes[i].key) != NULL)
+			append_row(res, find_row(t, op->writes[i].key));
 		else
 			fg_table_result_row(res, op->writes[i].key,
 					    t->last_version, NULL);
@@ -110,12 +111,12 @@
 	struct fg_table_result *res;
 };
 
-static gboolean scan_row(gpointer key, gpointer value, gpointer arg)
+static gboolean append_if_matching(gpointer key, gpointer value, gpointer arg)
 {
 	struct scan *scan = arg;
 
 	if (g_str_has_prefix(key, scan->prefix))
-		add_row(scan->res, value);
+		append_row(scan->res, value);
 	return FALSE;
 }
 
@@ -127,14 +128,14 @@
 	switch (op->kind) {
 	case FG_OP_GET:
 		t->reads++;
-		if (find(t, op->key) != NULL)
-			add_row(res, find(t, op->key));
+		if (find_row(t, op->key) != NULL)
+			append_row(res, find_row(t, op->key));
 		else
 			res->result = FG_PF_ABSENT;
 		break;
 	case FG_OP_SCAN:
 		t->reads++;
-		g_tree_foreach(t->rows, scan_row, &scan);
+		g_tree_foreach(t->rows, append_if_matching, &scan);
 		break;
 	case FG_OP_TXN:
 		run_txn(t, op, res);
--- a/tests/unit/test_config.c
+++ b/tests/unit/test_config.c
@@ -1,14 +1,16 @@
-/* Unit tests of the catalogue: changes, lookups, snapshots, size. */
+/* Unit tests of the catalogue: changes, lookups, snapshots. */
 #include <glib.h>
 #include <string.h>
 
 #include "base/fg_rand.h"
 #include "config/fg_config.h"
 
-/* Applies a change given without its outer braces and revision. */
-static bool apply(struct fg_config *c, GError **error, const char *fmt, ...)
-	G_GNUC_PRINTF(3, 4);
-static bool apply(struct fg_config *c, GError **error, const char *fmt, ...)
+/* Applies a change as the next revision. The format gives the JSON members of
+ * the change without braces and revision. */
+static bool apply_next(struct fg_config *c, GError **error, const char *fmt,
+		       ...) G_GNUC_PRINTF(3, 4);
+static bool apply_next(struct fg_config *c, GError **error, const char *fmt,
+		       ...)
 {
 	g_autofree char *body = NULL;
 	g_autofree char *text = NULL;
@@ -22,43 +24,47 @@
 	return fg_config_apply(c, text, error);
 }
 
-static void must(struct fg_config *c, const char *body)
+static void apply_ok(struct fg_config *c, const char *body)
 {
 	g_autoptr(GError) error = NULL;
 
-	g_assert_true(apply(c, &error, "%s", body));
+	g_assert_true(apply_next(c, &error, "%s", body));
 	g_assert_no_error(error);
 }
 
-/* Refused with this code, and nothing has changed. */
-static void refuse(struct fg_config *c, int code, const char *body)
+/* Asserts that a change fails with this code and leaves the catalogue as it
+ * was. */
+static void assert_refused(struct fg_config *c, int code, const char *body)
 {
 	g_autofree char *before = fg_config_snapshot(c);
 	g_autofree char *after = NULL;
 	g_autoptr(GError) error = NULL;
 
-	g_assert_false(apply(c, &error, "%s", body));
+	g_assert_false(apply_next(c, &error, "%s", body));
 	g_assert_error(error, FG_CONFIG_ERROR, code);
 	after = fg_config_snapshot(c);
 	g_assert_cmpstr(before, ==, after);
 }
 
-static struct fg_config *small(void)
+static struct fg_config *new_small_config(void)
 {
 	struct fg_config *c = fg_config_new();
 
-	must(c, "\"kind\":\"adapter_add\",\"base\":\"b\",\"adapter\":\"a1\"");
-	must(c,
-	     "\"kind\":\"version_add\",\"adapter\":\"a1\",\"version\":\"1\"");
-	must(c,
-	     "\"kind\":\"version_add\",\"adapter\":\"a1\",\"version\":\"2\"");
-	must(c, "\"kind\":\"right_grant\",\"adapter\":\"a1\",\"caller\":\"x\"");
+	apply_ok(c,
+		 "\"kind\":\"adapter_add\",\"base\":\"b\",\"adapter\":\"a1\"");
+	apply_ok(c, "\"kind\":\"version_add\",\"adapter\":\"a1\",\"version\":"
+		    "\"1\"");
+	apply_ok(c, "\"kind\":\"version_add\",\"adapter\":\"a1\",\"version\":"
+		    "\"2\"");
+	apply_ok(
+		c,
+		"\"kind\":\"right_grant\",\"adapter\":\"a1\",\"caller\":\"x\"");
 	return c;
 }
 
 static void test_resolve(void)
 {
-	struct fg_config *c = small();
+	struct fg_config *c = new_small_config();
 	fg_av av;
 
 	g_assert_cmpint(fg_config_resolve(c, "x", "a1", NULL, &av), ==,
@@ -79,7 +85,9 @@
 			FG_R_NO_RIGHT);
 	g_assert_cmpint(fg_config_resolve(c, NULL, NULL, NULL, &av), ==,
 			FG_R_UNKNOWN_ADAPTER);
-	must(c, "\"kind\":\"right_grant\",\"adapter\":\"a1\",\"caller\":\"*\"");
+	apply_ok(
+		c,
+		"\"kind\":\"right_grant\",\"adapter\":\"a1\",\"caller\":\"*\"");
 	g_assert_cmpint(fg_config_resolve(c, "y", "a1", "1", &av), ==,
 			FG_R_NONE);
 	g_assert_cmpuint(fg_config_find_version(c, "a1", "2").ver, ==, 2);
@@ -91,66 +99,73 @@
 
 static void test_numbers_never_reused(void)
 {
-	struct fg_config *c = small();
+	struct fg_config *c = new_small_config();
 
-	must(c, "\"kind\":\"version_remove\",\"adapter\":\"a1\","
-		"\"version\":\"2\"");
-	must(c,
-	     "\"kind\":\"version_add\",\"adapter\":\"a1\",\"version\":\"2\"");
+	apply_ok(c, "\"kind\":\"version_remove\",\"adapter\":\"a1\","
+		    "\"version\":\"2\"");
+	apply_ok(c, "\"kind\":\"version_add\",\"adapter\":\"a1\",\"version\":"
+		    "\"2\"");
 	g_assert_cmpuint(fg_config_find_version(c, "a1", "2").ver, ==, 3);
-	must(c, "\"kind\":\"adapter_remove\",\"adapter\":\"a1\"");
-	must(c, "\"kind\":\"adapter_add\",\"base\":\"b\",\"adapter\":\"a1\"");
-	must(c,
-	     "\"kind\":\"version_add\",\"adapter\":\"a1\",\"version\":\"2\"");
+	apply_ok(c, "\"kind\":\"adapter_remove\",\"adapter\":\"a1\"");
+	apply_ok(c,
+		 "\"kind\":\"adapter_add\",\"base\":\"b\",\"adapter\":\"a1\"");
+	apply_ok(c, "\"kind\":\"version_add\",\"adapter\":\"a1\",\"version\":"
+		    "\"2\"");
 	g_assert_cmpuint(fg_config_find_version(c, "a1", "2").adapter, ==, 2);
 	fg_config_free(c);
 }
 
 static void test_presets_services(void)
 {
-	struct fg_config *c = small();
+	struct fg_config *c = new_small_config();
 
 	g_assert_cmpstr(fg_config_preset(c)->name, ==, "ordinary");
-	must(c, "\"kind\":\"preset_set\",\"preset\":\"maintenance\"");
+	apply_ok(c, "\"kind\":\"preset_set\",\"preset\":\"maintenance\"");
 	g_assert_false(fg_config_preset(c)->accept_drafts);
-	must(c, "\"kind\":\"preset_put\",\"preset\":\"maintenance\","
-		"\"accept_drafts\":true,\"stall_weight\":7");
+	apply_ok(c, "\"kind\":\"preset_put\",\"preset\":\"maintenance\","
+		    "\"accept_drafts\":true,\"stall_weight\":7");
 	g_assert_true(fg_config_preset(c)->accept_drafts);
 	g_assert_cmpuint(fg_config_preset(c)->stall_weight, ==, 7);
-	must(c, "\"kind\":\"service_put\",\"service\":\"s\",\"plain\":true");
+	apply_ok(c,
+		 "\"kind\":\"service_put\",\"service\":\"s\",\"plain\":true");
 	g_assert_true(fg_config_service(c, "s")->plain);
 	g_assert_cmpuint(fg_config_service(c, "s")->loads_in_flight, ==, 8);
 	g_assert_false(fg_config_service(c, "other")->plain);
-	refuse(c, FG_CONFIG_ERR_UNKNOWN,
-	       "\"kind\":\"preset_set\",\"preset\":\"none\"");
-	refuse(c, FG_CONFIG_ERR_RANGE,
-	       "\"kind\":\"preset_put\",\"preset\":\"p\",\"stall_weight\":101");
-	refuse(c, FG_CONFIG_ERR_RANGE,
-	       "\"kind\":\"preset_put\",\"preset\":\"p\",\"accept_drafts\":1");
-	refuse(c, FG_CONFIG_ERR_RANGE,
-	       "\"kind\":\"service_put\",\"service\":\"s\",\"load_ms\":-1");
+	assert_refused(c, FG_CONFIG_ERR_UNKNOWN,
+		       "\"kind\":\"preset_set\",\"preset\":\"none\"");
+	assert_refused(c, FG_CONFIG_ERR_RANGE,
+		       "\"kind\":\"preset_put\",\"preset\":\"p\",\"stall_"
+		       "weight\":101");
+	assert_refused(
+		c, FG_CONFIG_ERR_RANGE,
+		"\"kind\":\"preset_put\",\"preset\":\"p\",\"accept_drafts\":1");
+	assert_refused(
+		c, FG_CONFIG_ERR_RANGE,
+		"\"kind\":\"service_put\",\"service\":\"s\",\"load_ms\":-1");
 	fg_config_free(c);
 }
 
-static void test_refused(void)
+static void test_invalid_changes(void)
 {
-	struct fg_config *c = small();
+	struct fg_config *c = new_small_config();
 	g_autoptr(GError) error = NULL;
 
-	refuse(c, FG_CONFIG_ERR_SYNTAX, "\"kind\":\"nonsense\"");
-	refuse(c, FG_CONFIG_ERR_SYNTAX, "\"kind\":1");
-	refuse(c, FG_CONFIG_ERR_SYNTAX,
-	       "\"kind\":\"preset_set\",\"preset\":\"peak\",\"x\":1");
-	refuse(c, FG_CONFIG_ERR_SYNTAX, "\"kind\":\"adapter_add\"");
-	refuse(c, FG_CONFIG_ERR_EXISTS,
-	       "\"kind\":\"adapter_add\",\"base\":\"b\",\"adapter\":\"a1\"");
-	refuse(c, FG_CONFIG_ERR_EXISTS,
-	       "\"kind\":\"version_add\",\"adapter\":\"a1\",\"version\":\"1\"");
-	refuse(c, FG_CONFIG_ERR_UNKNOWN,
-	       "\"kind\":\"adapter_remove\",\"adapter\":\"a2\"");
-	refuse(c, FG_CONFIG_ERR_UNKNOWN,
-	       "\"kind\":\"right_revoke\",\"adapter\":\"a1\","
-	       "\"caller\":\"y\"");
+	assert_refused(c, FG_CONFIG_ERR_SYNTAX, "\"kind\":\"nonsense\"");
+	assert_refused(c, FG_CONFIG_ERR_SYNTAX, "\"kind\":1");
+	assert_refused(c, FG_CONFIG_ERR_SYNTAX,
+		       "\"kind\":\"preset_set\",\"preset\":\"peak\",\"x\":1");
+	assert_refused(c, FG_CONFIG_ERR_SYNTAX, "\"kind\":\"adapter_add\"");
+	assert_refused(
+		c, FG_CONFIG_ERR_EXISTS,
+		"\"kind\":\"adapter_add\",\"base\":\"b\",\"adapter\":\"a1\"");
+	assert_refused(c, FG_CONFIG_ERR_EXISTS,
+		       "\"kind\":\"version_add\",\"adapter\":\"a1\","
+		       "\"version\":\"1\"");
+	assert_refused(c, FG_CONFIG_ERR_UNKNOWN,
+		       "\"kind\":\"adapter_remove\",\"adapter\":\"a2\"");
+	assert_refused(c, FG_CONFIG_ERR_UNKNOWN,
+		       "\"kind\":\"right_revoke\",\"adapter\":\"a1\","
+		       "\"caller\":\"y\"");
 	g_assert_false(
 		fg_config_apply(c, "{\"revision\":99,\"kind\":\"x\"}", &error));
 	g_assert_error(error, FG_CONFIG_ERROR, FG_CONFIG_ERR_GAP);
@@ -160,12 +175,12 @@
 	fg_config_free(c);
 }
 
-static void test_names(void)
+static void test_name_limits(void)
 {
 	struct fg_config *c = fg_config_new();
 	g_autofree char *longest = g_strnfill(63, 'n');
-	g_autofree char *over = g_strnfill(64, 'n');
-	const char *bad[] = { "", "a@b", "a|b", "a\\nb", "a\\u007f", over };
+	g_autofree char *too_long = g_strnfill(64, 'n');
+	const char *bad[] = { "", "a@b", "a|b", "a\\nb", "a\\u007f", too_long };
 	g_autoptr(GError) error = NULL;
 	g_autofree char *ok = g_strdup_printf(
 		"\"kind\":\"adapter_add\",\"base\":\"b\",\"adapter\":\"%s\"",
@@ -177,25 +192,27 @@
 					"\"b\",\"adapter\":\"%s\"",
 					bad[i]);
 
-		refuse(c, FG_CONFIG_ERR_RANGE, text);
+		assert_refused(c, FG_CONFIG_ERR_RANGE, text);
 	}
-	must(c, ok);
-	must(c, "\"kind\":\"adapter_add\",\"base\":\"b\","
-		"\"adapter\":\"men\xc3\xba \\\"x\\\\\"");
+	apply_ok(c, ok);
+	apply_ok(c, "\"kind\":\"adapter_add\",\"base\":\"b\","
+		    "\"adapter\":\"men\xc3\xba \\\"x\\\\\"");
 	fg_config_free(c);
 }
 
-static void test_format(void)
+static void test_format_numbers(void)
 {
-	struct fg_config *c = small();
+	struct fg_config *c = new_small_config();
 	g_autoptr(GError) error = NULL;
 
-	must(c, "\"format\":1,\"nonce\":\"n\",\"kind\":\"preset_set\","
-		"\"preset\":\"peak\"");
-	refuse(c, FG_CONFIG_ERR_FORMAT,
-	       "\"format\":2,\"kind\":\"preset_set\",\"preset\":\"peak\"");
-	refuse(c, FG_CONFIG_ERR_FORMAT,
-	       "\"format\":0,\"kind\":\"preset_set\",\"preset\":\"peak\"");
+	apply_ok(c, "\"format\":1,\"nonce\":\"n\",\"kind\":\"preset_set\","
+		    "\"preset\":\"peak\"");
+	assert_refused(
+		c, FG_CONFIG_ERR_FORMAT,
+		"\"format\":2,\"kind\":\"preset_set\",\"preset\":\"peak\"");
+	assert_refused(
+		c, FG_CONFIG_ERR_FORMAT,
+		"\"format\":0,\"kind\":\"preset_set\",\"preset\":\"peak\"");
 	g_assert_false(fg_config_restore(
 		c, "{\"format\":2,\"revision\":900,\"part\":0}", &error));
 	g_assert_error(error, FG_CONFIG_ERROR, FG_CONFIG_ERR_FORMAT);
@@ -203,47 +220,48 @@
 	fg_config_free(c);
 }
 
-static void test_batch(void)
+static void test_batch_rollback(void)
 {
-	struct fg_config *c = small();
-
-	refuse(c, FG_CONFIG_ERR_RANGE, "\"kind\":\"batch\",\"changes\":[]");
-	refuse(c, FG_CONFIG_ERR_SYNTAX,
-	       "\"kind\":\"batch\",\"changes\":[{\"kind\":\"batch\","
-	       "\"changes\":[]}]");
-	/* Every kind of step is undone when the last one fails. */
-	refuse(c, FG_CONFIG_ERR_UNKNOWN,
-	       "\"kind\":\"batch\",\"changes\":["
-	       "{\"kind\":\"version_remove\",\"adapter\":\"a1\","
-	       "\"version\":\"1\"},"
-	       "{\"kind\":\"right_revoke\",\"adapter\":\"a1\","
-	       "\"caller\":\"x\"},"
-	       "{\"kind\":\"right_grant\",\"adapter\":\"a1\","
-	       "\"caller\":\"w\"},"
-	       "{\"kind\":\"version_add\",\"adapter\":\"a1\","
-	       "\"version\":\"3\"},"
-	       "{\"kind\":\"adapter_remove\",\"adapter\":\"a1\"},"
-	       "{\"kind\":\"adapter_add\",\"base\":\"b\","
-	       "\"adapter\":\"a1\"},"
-	       "{\"kind\":\"preset_put\",\"preset\":\"new\"},"
-	       "{\"kind\":\"preset_put\",\"preset\":\"peak\","
-	       "\"hold_max_ms\":1},"
-	       "{\"kind\":\"preset_set\",\"preset\":\"new\"},"
-	       "{\"kind\":\"service_put\",\"service\":\"s\"},"
-	       "{\"kind\":\"service_put\",\"service\":\"s\","
-	       "\"load_ms\":9},"
-	       "{\"kind\":\"adapter_remove\",\"adapter\":\"a2\"}]");
-	must(c, "\"kind\":\"batch\",\"changes\":["
-		"{\"kind\":\"adapter_remove\",\"adapter\":\"a1\"},"
-		"{\"kind\":\"adapter_add\",\"base\":\"b\","
-		"\"adapter\":\"a1\"},"
-		"{\"kind\":\"preset_set\",\"preset\":\"peak\"}]");
+	struct fg_config *c = new_small_config();
+
+	assert_refused(c, FG_CONFIG_ERR_RANGE,
+		       "\"kind\":\"batch\",\"changes\":[]");
+	assert_refused(c, FG_CONFIG_ERR_SYNTAX,
+		       "\"kind\":\"batch\",\"changes\":[{\"kind\":\"batch\","
+		       "\"changes\":[]}]");
+	/* The last change fails: all kinds of changes must be rolled back. */
+	assert_refused(c, FG_CONFIG_ERR_UNKNOWN,
+		       "\"kind\":\"batch\",\"changes\":["
+		       "{\"kind\":\"version_remove\",\"adapter\":\"a1\","
+		       "\"version\":\"1\"},"
+		       "{\"kind\":\"right_revoke\",\"adapter\":\"a1\","
+		       "\"caller\":\"x\"},"
+		       "{\"kind\":\"right_grant\",\"adapter\":\"a1\","
+		       "\"caller\":\"w\"},"
+		       "{\"kind\":\"version_add\",\"adapter\":\"a1\","
+		       "\"version\":\"3\"},"
+		       "{\"kind\":\"adapter_remove\",\"adapter\":\"a1\"},"
+		       "{\"kind\":\"adapter_add\",\"base\":\"b\","
+		       "\"adapter\":\"a1\"},"
+		       "{\"kind\":\"preset_put\",\"preset\":\"new\"},"
+		       "{\"kind\":\"preset_put\",\"preset\":\"peak\","
+		       "\"hold_max_ms\":1},"
+		       "{\"kind\":\"preset_set\",\"preset\":\"new\"},"
+		       "{\"kind\":\"service_put\",\"service\":\"s\"},"
+		       "{\"kind\":\"service_put\",\"service\":\"s\","
+		       "\"load_ms\":9},"
+		       "{\"kind\":\"adapter_remove\",\"adapter\":\"a2\"}]");
+	apply_ok(c, "\"kind\":\"batch\",\"changes\":["
+		    "{\"kind\":\"adapter_remove\",\"adapter\":\"a1\"},"
+		    "{\"kind\":\"adapter_add\",\"base\":\"b\","
+		    "\"adapter\":\"a1\"},"
+		    "{\"kind\":\"preset_set\",\"preset\":\"peak\"}]");
 	g_assert_cmpuint(fg_config_revision(c), ==, 5);
 	g_assert_cmpstr(fg_config_preset(c)->name, ==, "peak");
 	fg_config_free(c);
 }
 
-/* A random change over few names, so that many are refused. */
+/* Returns a random change. The few names used make many changes fail. */
 static char *random_change(struct fg_rand *r)
 {
 	static const char *const kinds[] = { "adapter_add", "adapter_remove",
@@ -290,8 +308,9 @@
 	return g_string_free(out, FALSE);
 }
 
-/* A copy restored from a snapshot stays equal under the same changes. */
-static void test_random_equal(void)
+/* A catalogue and its copy restored from a snapshot must be equal after the
+ * same changes, and unchanged after failed ones. */
+static void test_restored_copy_stays_equal(void)
 {
 	struct fg_rand r;
 	unsigned int applied = 0;
@@ -310,8 +329,8 @@
 			bool ok;
 
 			g_assert_true(fg_config_restore(b, before, NULL));
-			ok = apply(a, NULL, "%s", body);
-			g_assert_true(apply(b, NULL, "%s", body) == ok);
+			ok = apply_next(a, NULL, "%s", body);
+			g_assert_true(apply_next(b, NULL, "%s", body) == ok);
 			left = fg_config_snapshot(a);
 			right = fg_config_snapshot(b);
 			g_assert_cmpstr(left, ==, right);
@@ -326,25 +345,25 @@
 	g_assert_cmpuint(refused, >, 500);
 }
 
-/* Damaged texts are refused or taken whole, without a crash. */
-static void test_damaged(void)
+/* A snapshot with a corrupted byte must be refused or restored completely. */
+static void test_corrupted_snapshot(void)
 {
-	struct fg_config *c = small();
+	struct fg_config *c = new_small_config();
 	g_autofree char *good = fg_config_snapshot(c);
 	size_t len = strlen(good);
 	struct fg_rand r;
 
 	fg_rand_seed(&r, 12);
 	for (int i = 0; i < 20000; i++) {
-		g_autofree char *bad = g_strdup(good);
+		g_autofree char *corrupted = g_strdup(good);
 		struct fg_config *d = fg_config_new();
 		struct fg_config *e = fg_config_new();
 		g_autofree char *one = NULL;
 		g_autofree char *two = NULL;
 
-		bad[fg_rand_below(&r, len)] =
+		corrupted[fg_rand_below(&r, len)] =
 			(char)(' ' + fg_rand_below(&r, 95));
-		if (fg_config_restore(d, bad, NULL)) {
+		if (fg_config_restore(d, corrupted, NULL)) {
 			one = fg_config_snapshot(d);
 			g_assert_true(fg_config_restore(e, one, NULL));
 			two = fg_config_snapshot(e);
@@ -356,32 +375,30 @@
 	fg_config_free(c);
 }
 
-static void test_restore_only_upwards(void)
+static void test_restore_ignores_older(void)
 {
-	struct fg_config *c = small();
+	struct fg_config *c = new_small_config();
 	g_autofree char *old = fg_config_snapshot(c);
 
-	must(c, "\"kind\":\"preset_set\",\"preset\":\"peak\"");
+	apply_ok(c, "\"kind\":\"preset_set\",\"preset\":\"peak\"");
 	g_assert_true(fg_config_restore(c, old, NULL));
 	g_assert_cmpuint(fg_config_revision(c), ==, 5);
 	g_assert_cmpstr(fg_config_preset(c)->name, ==, "peak");
 	fg_config_free(c);
 }
 
-/* ---- Who must acknowledge ---- */
-
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/config/resolve", test_resolve);
 	g_test_add_func("/config/numbers", test_numbers_never_reused);
 	g_test_add_func("/config/presets_services", test_presets_services);
-	g_test_add_func("/config/refused", test_refused);
-	g_test_add_func("/config/names", test_names);
-	g_test_add_func("/config/format", test_format);
-	g_test_add_func("/config/batch", test_batch);
-	g_test_add_func("/config/random_equal", test_random_equal);
-	g_test_add_func("/config/damaged", test_damaged);
-	g_test_add_func("/config/only_upwards", test_restore_only_upwards);
+	g_test_add_func("/config/refused", test_invalid_changes);
+	g_test_add_func("/config/names", test_name_limits);
+	g_test_add_func("/config/format", test_format_numbers);
+	g_test_add_func("/config/batch", test_batch_rollback);
+	g_test_add_func("/config/random_equal", test_restored_copy_stays_equal);
+	g_test_add_func("/config/damaged", test_corrupted_snapshot);
+	g_test_add_func("/config/only_upwards", test_restore_ignores_older);
 	return g_test_run();
 }
