--- a/lib/slots/fg_slots.c
+++ b/lib/slots/fg_slots.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-void fg_slots_clear_base(struct fg_slots *s)
+void fg_slots_reset_base(struct fg_slots *s)
 {
 	memset(&s->base, 0, sizeof(s->base));
 	g_strlcpy(s->base.model, s->conf.model, sizeof(s->base.model));
 	s->base.key = fg_adapter_key(s->base.model, "");
-	s->base.state = COMING;
+	s->base.phase = LOADING;
 }
 
 struct fg_slots *fg_slots_new(const struct fg_slots_conf *conf)
@@ -16,12 +16,12 @@
 
 	s->conf = *conf;
 	s->conf.slots = MIN(conf->slots, FG_SLOTS_MAX);
-	fg_slots_clear_base(s);
-	s->wants = g_array_new(FALSE, TRUE, sizeof(struct fg_want));
-	s->newest = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					  g_free);
-	s->held_once = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					     g_free, NULL);
+	fg_slots_reset_base(s);
+	s->queue = g_array_new(FALSE, TRUE, sizeof(struct fg_load_request));
+	s->newest_versions = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						   g_free, g_free);
+	s->loaded_before = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						 g_free, NULL);
 	return s;
 }
 
@@ -29,13 +29,13 @@
 {
 	if (s == NULL)
 		return;
-	g_array_unref(s->wants);
-	g_hash_table_unref(s->newest);
-	g_hash_table_unref(s->held_once);
+	g_array_unref(s->queue);
+	g_hash_table_unref(s->newest_versions);
+	g_hash_table_unref(s->loaded_before);
 	g_free(s);
 }
 
-struct fg_slot *fg_slot_of(const struct fg_slots *s, uint64_t key)
+struct fg_slot *fg_slot_find(const struct fg_slots *s, uint64_t key)
 {
 	if (s->base.key == key)
 		return (struct fg_slot *)&s->base;
@@ -46,16 +46,16 @@
 	return NULL;
 }
 
-uint64_t fg_slots_newest(const struct fg_slots *s, uint64_t key)
+uint64_t fg_slots_newest_version(const struct fg_slots *s, uint64_t key)
 {
-	const uint64_t *v = g_hash_table_lookup(s->newest, &key);
+	const uint64_t *v = g_hash_table_lookup(s->newest_versions, &key);
 
 	return v == NULL ? 0 : *v;
 }
 
 bool fg_slot_is_current(const struct fg_slot *slot)
 {
-	return slot->state == RESIDENT && slot->version >= slot->newest;
+	return slot->phase == RESIDENT && slot->version >= slot->newest;
 }
 
 struct fg_slot *fg_slots_add(struct fg_slots *s, fg_ms now, const char *model,
@@ -65,14 +65,14 @@
 
 	if (s->n == FG_SLOTS_MAX)
 		return NULL;
-	g_assert(fg_slot_of(s, fg_adapter_key(model, adapter)) == NULL);
+	g_assert(fg_slot_find(s, fg_adapter_key(model, adapter)) == NULL);
 	slot = &s->slots[s->n++];
 	memset(slot, 0, sizeof(*slot));
 	g_strlcpy(slot->model, model, sizeof(slot->model));
 	g_strlcpy(slot->adapter, adapter, sizeof(slot->adapter));
 	slot->key = fg_adapter_key(model, adapter);
-	slot->newest = fg_slots_newest(s, slot->key);
-	slot->used = now;
+	slot->newest = fg_slots_newest_version(s, slot->key);
+	slot->used_at = now;
 	return slot;
 }
 
@@ -81,19 +81,19 @@
 	*slot = s->slots[--s->n];
 }
 
-/* ---- Room ---- */
+/* ---- Eviction ---- */
 
-struct fg_slot *fg_slots_victim(const struct fg_slots *s, fg_ms now)
+struct fg_slot *fg_slots_find_victim(const struct fg_slots *s, fg_ms now)
 {
 	struct fg_slot *best = NULL;
 
 	for (uint32_t i = 0; i < s->n; i++) {
 		struct fg_slot *slot = (struct fg_slot *)&s->slots[i];
 
-		if (slot->state != RESIDENT ||
-		    now - slot->used < FG_SLOTS_MIN_IDLE_MS)
+		if (slot->phase != RESIDENT ||
+		    now - slot->used_at < FG_SLOTS_MIN_IDLE_MS)
 			continue;
-		if (best == NULL || slot->used < best->used)
+		if (best == NULL || slot->used_at < best->used_at)
 			best = slot;
 	}
 	return best;
@@ -101,96 +101,102 @@
 
 uint32_t fg_slots_spare_age_ms(const struct fg_slots *s, fg_ms now)
 {
-	const struct fg_slot *v;
+	const struct fg_slot *victim;
 
-	if (!s->synced || s->base.state != RESIDENT)
+	if (!s->synced || s->base.phase != RESIDENT)
 		return 0;
-	if (s->n + s->wants->len < s->conf.slots)
+	if (s->n + s->queue->len < s->conf.slots)
 		return UINT32_MAX;
-	v = fg_slots_victim(s, now);
-	return v == NULL ? 0 : (uint32_t)MIN(now - v->used, UINT32_MAX - 1);
+	victim = fg_slots_find_victim(s, now);
+	return victim == NULL
+		       ? 0
+		       : (uint32_t)MIN(now - victim->used_at, UINT32_MAX - 1);
 }
 
-uint32_t fg_slots_count(const struct fg_slots *s, enum fg_slot_phase state)
+uint32_t fg_slots_count(const struct fg_slots *s, enum fg_slot_phase phase)
 {
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < s->n; i++)
-		n += s->slots[i].state == state ? 1 : 0;
+		n += s->slots[i].phase == phase ? 1 : 0;
 	return n;
 }
 
-/* ---- Wants ---- */
+/* ---- Load requests ---- */
 
-static struct fg_want *want_of(const struct fg_slots *s, uint64_t key)
+static struct fg_load_request *find_request(const struct fg_slots *s,
+					    uint64_t key)
 {
-	for (guint i = 0; i < s->wants->len; i++) {
-		struct fg_want *w = &g_array_index(s->wants, struct fg_want, i);
+	for (guint i = 0; i < s->queue->len; i++) {
+		struct fg_load_request *r =
+			&g_array_index(s->queue, struct fg_load_request, i);
 
-		if (w->key == key)
-			return w;
+		if (r->key == key)
+			return r;
 	}
 	return NULL;
 }
 
 enum fg_slot_state fg_slots_state(const struct fg_slots *s, uint64_t key)
 {
-	const struct fg_slot *slot = fg_slot_of(s, key);
+	const struct fg_slot *slot = fg_slot_find(s, key);
 
 	if (slot != NULL && fg_slot_is_current(slot))
 		return FG_SLOT_RESIDENT;
-	if (slot != NULL && slot->state != LEAVING)
+	if (slot != NULL && slot->phase != UNLOADING)
 		return FG_SLOT_PENDING;
-	return want_of(s, key) != NULL ? FG_SLOT_PENDING : FG_SLOT_ABSENT;
+	return find_request(s, key) != NULL ? FG_SLOT_PENDING : FG_SLOT_ABSENT;
 }
 
 enum fg_slot_state fg_slots_request_load(struct fg_slots *s, fg_ms now,
 					 const char *model, const char *adapter,
 					 uint64_t version)
 {
-	struct fg_want w = { .since = now, .asked = now, .version = version };
-	struct fg_want *before;
+	struct fg_load_request r = { .created_at = now,
+				     .repeated_at = now,
+				     .version = version };
+	struct fg_load_request *queued;
 	enum fg_slot_state state;
 
-	w.key = fg_adapter_key(model, adapter);
-	if (version > fg_slots_newest(s, w.key))
-		fg_slots_announce_version(s, w.key, version);
-	before = want_of(s, w.key);
-	if (before != NULL) {
-		before->asks++;
-		before->asked = now;
+	r.key = fg_adapter_key(model, adapter);
+	if (version > fg_slots_newest_version(s, r.key))
+		fg_slots_announce_version(s, r.key, version);
+	queued = find_request(s, r.key);
+	if (queued != NULL) {
+		queued->repeats++;
+		queued->repeated_at = now;
 	}
-	state = fg_slots_state(s, w.key);
+	state = fg_slots_state(s, r.key);
 	if (state != FG_SLOT_ABSENT) {
-		fg_slots_mark_used(s, now, w.key);
+		fg_slots_mark_used(s, now, r.key);
 		return state;
 	}
 	if (adapter[0] == '\0' || strcmp(model, s->base.model) != 0)
-		return FG_SLOT_FULL; /* holds another model */
-	if (s->wants->len >= s->conf.queue_max)
+		return FG_SLOT_FULL; /* the engine serves another model */
+	if (s->queue->len >= s->conf.queue_max)
 		return FG_SLOT_FULL;
-	g_strlcpy(w.model, model, sizeof(w.model));
-	g_strlcpy(w.adapter, adapter, sizeof(w.adapter));
-	g_array_append_val(s->wants, w);
+	g_strlcpy(r.model, model, sizeof(r.model));
+	g_strlcpy(r.adapter, adapter, sizeof(r.adapter));
+	g_array_append_val(s->queue, r);
 	return FG_SLOT_PENDING;
 }
 
 void fg_slots_mark_used(struct fg_slots *s, fg_ms now, uint64_t key)
 {
-	struct fg_slot *slot = fg_slot_of(s, key);
+	struct fg_slot *slot = fg_slot_find(s, key);
 
 	if (slot != NULL)
-		slot->used = now;
+		slot->used_at = now;
 }
 
 void fg_slots_announce_version(struct fg_slots *s, uint64_t key,
 			       uint64_t version)
 {
-	struct fg_slot *slot = fg_slot_of(s, key);
+	struct fg_slot *slot = fg_slot_find(s, key);
 
-	if (version <= fg_slots_newest(s, key))
+	if (version <= fg_slots_newest_version(s, key))
 		return;
-	g_hash_table_insert(s->newest, g_memdup2(&key, sizeof(key)),
+	g_hash_table_insert(s->newest_versions, g_memdup2(&key, sizeof(key)),
 			    g_memdup2(&version, sizeof(version)));
 	if (slot != NULL)
 		slot->newest = version;
@@ -198,21 +204,21 @@
 
 bool fg_slots_is_fetch(const struct fg_slots *s, uint64_t key)
 {
-	return !g_hash_table_contains(s->held_once, &key);
+	return !g_hash_table_contains(s->loaded_before, &key);
 }
 
-/* ---- What the owner tells ---- */
+/* ---- State for the owner ---- */
 
 uint32_t fg_slots_list_resident(const struct fg_slots *s,
 				struct fg_fleet_held *out)
 {
 	uint32_t n = 0;
 
-	if (s->known && s->base.state == RESIDENT) {
+	if (s->ever_synced && s->base.phase == RESIDENT) {
 		out[n].key = s->base.key;
 		out[n++].version = MAX(s->base.version, 1);
 	}
-	for (uint32_t i = 0; s->known && i < s->n; i++) {
+	for (uint32_t i = 0; s->ever_synced && i < s->n; i++) {
 		if (!fg_slot_is_current(&s->slots[i]))
 			continue;
 		out[n].key = s->slots[i].key;
@@ -227,7 +233,7 @@
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < s->n; i++)
-		n += s->slots[i].state == COMING && s->slots[i].fetch ? 1 : 0;
+		n += s->slots[i].phase == LOADING && s->slots[i].fetch ? 1 : 0;
 	return n;
 }
 
@@ -244,26 +250,29 @@
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < s->n; i++) {
-		if (s->slots[i].state == COMING)
+		if (s->slots[i].phase == LOADING)
 			out[n++] = s->slots[i].key;
 	}
-	for (guint i = 0; i < s->wants->len && n < FG_SLOTS_MAX; i++)
-		out[n++] = g_array_index(s->wants, struct fg_want, i).key;
+	for (guint i = 0; i < s->queue->len && n < FG_SLOTS_MAX; i++)
+		out[n++] =
+			g_array_index(s->queue, struct fg_load_request, i).key;
 	return n;
 }
 
 uint32_t fg_slots_queue_len(const struct fg_slots *s)
 {
-	return s->wants->len;
+	return s->queue->len;
 }
 
 uint32_t fg_slots_count_fetch_queued(const struct fg_slots *s)
 {
 	uint32_t n = 0;
 
-	for (guint i = 0; i < s->wants->len; i++)
+	for (guint i = 0; i < s->queue->len; i++)
 		n += fg_slots_is_fetch(
-			     s, g_array_index(s->wants, struct fg_want, i).key)
+			     s,
+			     g_array_index(s->queue, struct fg_load_request, i)
+				     .key)
 			     ? 1
 			     : 0;
 	return n;
--- a/lib/slots/fg_slots.h
+++ b/lib/slots/fg_slots.h
@@ -1,24 +1,26 @@
 /*
- * fg_slots - the adapter slots of one engine, as the instance that orders its
- * loads keeps them.
+ * fg_slots - manages the adapter slots of one engine, on the instance that
+ * sends the engine its load and unload orders.
  *
- * Requests for adapters come in with fg_slots_request_load(); fg_slots_next()
- * gives the next message to the engine, one at a time, each with the number of
- * orders that the engine must have accepted before (its sequence). An order
- * whose answer is lost may still act later: the sequence and the adapters are
- * then read anew before anything else is ordered, and an order that acts late
- * meets a sequence that has moved on and is refused by the engine.
+ * fg_slots_request_load() queues a request for an adapter. fg_slots_next()
+ * returns the next message to send to the engine. One message is in flight at
+ * a time. Each order carries the number of orders that the engine must have
+ * accepted before (its sequence). An order whose answer was lost may still
+ * take effect later. The sequence and the resident adapters are then read
+ * again before anything else is ordered. A late order carries an outdated
+ * sequence, and the engine refuses it.
  *
- * An engine that started empty gets its base model first; nothing else is
- * ordered until it holds that. A base model is written as an adapter with an
- * empty name, and takes no slot.
+ * An engine that started empty first loads its base model. Nothing else is
+ * ordered until the model is resident. The base model is written as an adapter
+ * with an empty name and takes no slot.
  *
- * At no time do the adapters that are resident or on their way exceed the
- * slots: room is made by an unload that the engine has confirmed. The victim
- * is the adapter unused for longest, and none that was used in the last
+ * The adapters that are resident or loading never exceed the slots: a load
+ * into a full engine waits until the engine has confirmed an unload. The least
+ * recently used adapter is evicted, but none that was used within the last
  * FG_SLOTS_MIN_IDLE_MS.
  *
- * Pure: events and the time in, the next message out.
+ * Does no I/O and reads no clock: the caller passes events and the time, and
+ * sends the messages.
  */
 #ifndef FG_SLOTS_H
 #define FG_SLOTS_H
@@ -29,45 +31,50 @@
 #include "base/fg_clock.h"
 #include "wire/fg_wire.h"
 
-/* An adapter used within this time is taken to be in use: the owner looks at
- * what is in flight every 100 ms, and word from another region takes 12 ms. An
- * unload of one in use waits for its runs, and all else waits for it. */
+/* An adapter used within this time counts as in use and is not evicted. The
+ * owner samples the requests in flight every 100 ms, and a message from another
+ * region takes 12 ms. An engine unloads an adapter in use only after its runs
+ * have ended, and all other loads wait for that unload. */
 #define FG_SLOTS_MIN_IDLE_MS 200
 #define FG_SLOTS_MAX FG_FLEET_RESIDENT_MAX
 
 struct fg_slots_conf {
-	char model[FG_FLEET_NAME_BYTES]; /* for an engine that holds none */
-	uint32_t slots;			 /* adapters at once */
-	uint32_t load_ms;	 /* of an adapter from the weight store */
-	uint32_t loads_max;	 /* loads on their way at once */
-	uint32_t queue_max;	 /* adapters waiting at once */
-	uint32_t request_ttl_ms; /* a want that old is dropped */
+	char model[FG_FLEET_NAME_BYTES]; /* loaded when the engine has none */
+	uint32_t slots;			 /* adapters that the engine can hold */
+	uint32_t load_ms;	 /* usual time of a load from the store */
+	uint32_t loads_max;	 /* concurrent loads */
+	uint32_t queue_max;	 /* queued load requests */
+	uint32_t request_ttl_ms; /* expiry of unrepeated requests */
 };
 
 struct fg_slots;
 
+/* Copies `conf`. The caller frees the result with fg_slots_free(). */
 struct fg_slots *fg_slots_new(const struct fg_slots_conf *conf);
 void fg_slots_free(struct fg_slots *s);
 
 enum fg_slot_state {
 	FG_SLOT_ABSENT = 0,
-	FG_SLOT_PENDING = 1,
+	FG_SLOT_PENDING = 1, /* queued or loading */
 	FG_SLOT_RESIDENT = 2,
-	FG_SLOT_FULL = 3, /* absent, and too many wait for a slot */
+	FG_SLOT_FULL = 3, /* absent, and the queue accepts no more */
 };
 
 /*
- * An adapter is wanted, in this version or a newer one (0: any). Returns its
- * state; COMING when it has been taken on. An empty name stands for the model.
+ * Requests that an adapter be loaded in this version or a newer one (0: any).
+ * An empty `adapter` stands for the base model. Returns the adapter's state:
+ * PENDING also when the request was queued by this call, FULL when the queue
+ * is full or the engine serves another model. Call it again while a request
+ * waits for the adapter: the repeats raise its priority and keep it queued.
  */
 enum fg_slot_state fg_slots_request_load(struct fg_slots *s, fg_ms now,
 					 const char *model, const char *adapter,
 					 uint64_t version);
 
-/* A request used it. */
+/* A request used the adapter. */
 void fg_slots_mark_used(struct fg_slots *s, fg_ms now, uint64_t key);
 
-/* A new version was announced: older ones are replaced. */
+/* A version was announced: a resident older one is replaced. */
 void fg_slots_announce_version(struct fg_slots *s, uint64_t key,
 			       uint64_t version);
 
@@ -80,50 +87,54 @@
 
 struct fg_slots_step {
 	enum fg_slots_act act;
-	const char *model; /* valid until the next call */
+	const char *model; /* LOAD, UNLOAD; valid until the next call */
 	const char *adapter;
 	uint64_t version;
 	uint64_t expected_sequence;
-	fg_ms wake_at; /* with NOTHING: when to ask again; FG_MS_NEVER */
+	fg_ms wake_at; /* NOTHING: when to call again, or FG_MS_NEVER */
 };
 
-/* The next message; the state counts it as sent until its result is passed in.
- * Loads from the weight store begin only with `store_open`. */
+/* Returns the next message to the engine. It counts as in flight until its
+ * result is passed in. Loads from the weight store start only when
+ * `store_open` is set. */
 struct fg_slots_step fg_slots_next(struct fg_slots *s, fg_ms now,
 				   bool store_open);
 
-/* Loads from the weight store that are on their way. */
+/* Returns the number of loads from the weight store in progress. */
 uint32_t fg_slots_count_fetching(const struct fg_slots *s);
 
-/* Loads from the weight store that wait to begin. */
+/* Returns the number of queued loads that need the weight store. */
 uint32_t fg_slots_count_fetch_queued(const struct fg_slots *s);
 
-/* Time that the last such load took, once: 0 when none ended since. */
+/* Returns the duration of the last completed load from the weight store, or 0
+ * when none completed since the last call. */
 uint32_t fg_slots_take_fetched_ms(struct fg_slots *s);
 
-/* Adapters on their way; `out` has room for FG_SLOTS_MAX. */
+/* Writes the keys of the adapters that are loading or queued to `out` (room
+ * for FG_SLOTS_MAX) and returns their number. */
 uint32_t fg_slots_list_pending(const struct fg_slots *s, uint64_t *out);
 
-/* Result of the LOAD or UNLOAD that fg_slots_next() gave. */
+/* Passes in the result of the LOAD or UNLOAD in flight. */
 void fg_slots_handle_result(struct fg_slots *s, fg_ms now,
 			    enum fg_order_result result);
 
-/* Answer to REPORT; NULL when there was none. */
+/* Passes in the answer to REPORT; NULL when there was none. */
 void fg_slots_handle_report(struct fg_slots *s, fg_ms now,
 			    const struct fg_report *report);
 
-/* Resident adapters whose version is the newest announced; returns how many.
- * `out` has room for FG_SLOTS_MAX + 1; the base model comes first. */
+/* Writes the resident adapters whose version is the newest announced to `out`
+ * (room for FG_SLOTS_MAX + 1), the base model first. Returns their number. */
 uint32_t fg_slots_list_resident(const struct fg_slots *s,
 				struct fg_fleet_held *out);
 
-/* Adapters that wait for a slot or for the weight store. */
+/* Returns the number of queued load requests. */
 uint32_t fg_slots_queue_len(const struct fg_slots *s);
 
-/* How long the adapter that would be evicted has been unused; UINT32_MAX when a
- * slot is free, 0 when none can be freed. */
+/* Returns how long the next adapter to evict has been unused. UINT32_MAX: a
+ * slot is free. 0: no slot can be freed, or the engine is not ready. */
 uint32_t fg_slots_spare_age_ms(const struct fg_slots *s, fg_ms now);
 
+/* Returns ABSENT, PENDING or RESIDENT. */
 enum fg_slot_state fg_slots_state(const struct fg_slots *s, uint64_t key);
 
 #endif
--- a/lib/slots/fg_slots_internal.h
+++ b/lib/slots/fg_slots_internal.h
@@ -1,4 +1,4 @@
-/* What the files of lib/slots share: the state of one engine's slots. */
+/* State of one engine's slots, shared by the files of lib/slots. */
 #ifndef FG_SLOTS_INTERNAL_H
 #define FG_SLOTS_INTERNAL_H
 
@@ -6,82 +6,87 @@
 
 #include "slots/fg_slots.h"
 
-/* A load that should be there is asked for again at this interval until the
- * engine says that it holds. */
+/* Once a load should be complete, the order is repeated at this interval until
+ * the engine confirms that it holds the adapter. */
 #define FG_SLOTS_CHECK_MS 30
 
 enum fg_slot_phase {
-	COMING = 1,
+	LOADING = 1,
 	RESIDENT = 2,
-	LEAVING = 3, /* ordered to unload, not yet confirmed */
+	UNLOADING = 3, /* unload ordered, not yet confirmed */
 };
 
 struct fg_slot {
 	uint64_t key;
 	char model[FG_FLEET_NAME_BYTES];
 	char adapter[FG_FLEET_NAME_BYTES];
-	enum fg_slot_phase state;
+	enum fg_slot_phase phase;
 	uint64_t version; /* resident, or 0 */
-	uint64_t newest;  /* announced; 0: none heard of */
-	fg_ms used;
-	fg_ms check_at; /* COMING, LEAVING: look again */
-	fg_ms begun;	/* COMING: when it was ordered */
-	bool fetch;	/* COMING: from the weight store */
-	bool accepted;	/* COMING: the engine took the order, and takes a repeat
-			 * of it without counting it in its sequence */
+	uint64_t newest;  /* highest announced version; 0: none */
+	fg_ms used_at;
+	fg_ms check_at;	  /* LOADING, UNLOADING: when to repeat the order */
+	fg_ms started_at; /* LOADING: when the load was ordered */
+	bool fetch;	  /* LOADING: from the weight store */
+	bool accepted;	  /* the engine accepted the order; it accepts a repeat
+			   * without counting it in its sequence */
 };
 
-struct fg_want {
+/* A queued request to load an adapter. */
+struct fg_load_request {
 	uint64_t key;
 	char model[FG_FLEET_NAME_BYTES];
 	char adapter[FG_FLEET_NAME_BYTES];
 	uint64_t version;
-	fg_ms since;
-	fg_ms asked; /* last */
-	uint32_t asks;
+	fg_ms created_at;
+	fg_ms repeated_at;
+	uint32_t repeats;
 };
 
 struct fg_slots {
 	struct fg_slots_conf conf;
 	struct fg_slot slots[FG_SLOTS_MAX];
 	uint32_t n;
-	GArray *wants;	       /* struct fg_want, oldest first */
-	GHashTable *newest;    /* key -> announced version */
-	GHashTable *held_once; /* keys that the engine loaded before */
+	GArray *queue;		     /* struct fg_load_request, oldest first */
+	GHashTable *newest_versions; /* key -> announced version */
+	GHashTable *loaded_before;   /* keys that the engine has loaded once */
 	uint64_t sequence;
-	bool synced;	 /* sequence and slots are known */
-	bool known;	 /* slots were known at some time since the reset */
-	fg_ms report_at; /* earliest time of the next report */
-	uint64_t
-		stale_sequence; /* refused as expected: reports of it are old */
-	bool stale;
-	/* The base model, kept apart from the slots of adapters. */
-	struct fg_slot base;
+	bool synced;	  /* sequence and slots are current */
+	bool ever_synced; /* slots were current at some time */
+	fg_ms report_at;  /* earliest time of the next report */
+	/* After a conflict: a report that still shows the refused sequence is
+	 * older than the conflict and is ignored once. */
+	uint64_t refused_sequence;
+	bool has_refused;
+	struct fg_slot base;	/* the base model, which takes no slot */
 	enum fg_slots_act sent; /* in flight */
 	uint64_t sent_key;
-	uint32_t fetched_ms; /* of the last load from the weight store */
+	uint32_t fetched_ms; /* duration of the last load from the store */
 };
 
-struct fg_slot *fg_slot_of(const struct fg_slots *s, uint64_t key);
-uint64_t fg_slots_newest(const struct fg_slots *s, uint64_t key);
+/* Returns the slot of an adapter or of the base model; NULL: none. */
+struct fg_slot *fg_slot_find(const struct fg_slots *s, uint64_t key);
 
-/* Resident, in the newest version announced. */
+/* Returns the highest version announced, 0 if none was. */
+uint64_t fg_slots_newest_version(const struct fg_slots *s, uint64_t key);
+
+/* Returns whether the slot is resident in the newest announced version. */
 bool fg_slot_is_current(const struct fg_slot *slot);
 
-/* A slot for an adapter that has none; NULL when there is no room at all. */
+/* Adds a slot for an adapter that has none; NULL if the table is full. */
 struct fg_slot *fg_slots_add(struct fg_slots *s, fg_ms now, const char *model,
 			     const char *adapter);
 void fg_slots_drop(struct fg_slots *s, struct fg_slot *slot);
 
-/* The adapter to evict: unused for longest, and for FG_SLOTS_MIN_IDLE_MS. */
-struct fg_slot *fg_slots_victim(const struct fg_slots *s, fg_ms now);
+/* Returns the least recently used resident adapter that has been idle for
+ * FG_SLOTS_MIN_IDLE_MS, NULL if there is none. */
+struct fg_slot *fg_slots_find_victim(const struct fg_slots *s, fg_ms now);
 
 uint32_t fg_slots_count(const struct fg_slots *s, enum fg_slot_phase phase);
 
-/* No model is known to be there. */
-void fg_slots_clear_base(struct fg_slots *s);
+/* Resets the base model to the configured one, not yet loaded. */
+void fg_slots_reset_base(struct fg_slots *s);
 
-/* Does a load of the adapter come from the weight store? */
+/* Returns whether a load of the adapter would use the weight store. */
 bool fg_slots_is_fetch(const struct fg_slots *s, uint64_t key);
 
 #endif
--- a/lib/slots/fg_slots_result.c
+++ b/lib/slots/fg_slots_result.c
@@ -1,38 +1,42 @@
-/* What an engine answered: results of orders, and reports. */
+/* Handles the answers of an engine: results of orders, and reports. */
 #include "slots/fg_slots_internal.h"
 
 #include <string.h>
 
-/* The same for an unload that waits for its runs. */
+/* Interval at which an unload is repeated until the adapter's runs have ended.
+ * The engine unloads the adapter only then. */
 #define UNLOAD_CHECK_MS 60
-/* The same for a base model, whose load takes seconds. */
+/* Interval at which the order to load a base model is repeated. The load takes
+ * seconds. */
 #define BASE_CHECK_MS 200
-/* The engine's report lags by some hundred ms. */
+/* Pause before another report is requested. A report lags by some hundred ms.
+ */
 #define REPORT_RETRY_MS 150
-/* After an order that the engine does not know. */
+/* Pause after the engine refused an order that it does not support. */
 #define REFUSED_WAIT_MS 1000
-/* Reloads of an adapter that the engine held before take a tenth of a load. */
-#define RELOAD_SHARE 10
+/* An adapter that the engine held before loads this many times faster. */
+#define RELOAD_SPEEDUP 10
 
 /* ---- Results ---- */
 
-static void resync(struct fg_slots *s, fg_ms now)
+static void start_resync(struct fg_slots *s, fg_ms now)
 {
 	s->synced = false;
 	s->report_at = now;
 }
 
-static fg_ms load_time(const struct fg_slots *s, uint64_t key)
+static fg_ms expected_load_ms(const struct fg_slots *s, uint64_t key)
 {
 	fg_ms full_ms = s->conf.load_ms;
 
-	if (g_hash_table_contains(s->held_once, &key))
-		return full_ms / RELOAD_SHARE;
+	if (g_hash_table_contains(s->loaded_before, &key))
+		return full_ms / RELOAD_SPEEDUP;
 	return full_ms;
 }
 
-static void load_result(struct fg_slots *s, fg_ms now, struct fg_slot *slot,
-			enum fg_order_result result)
+static void handle_load_result(struct fg_slots *s, fg_ms now,
+			       struct fg_slot *slot,
+			       enum fg_order_result result)
 {
 	if (result == FG_ORDER_ACCEPTED && slot->accepted) {
 		slot->check_at = now + (slot == &s->base ? BASE_CHECK_MS
@@ -40,29 +44,30 @@
 		return;
 	}
 	if (result == FG_ORDER_ACCEPTED) {
-		slot->check_at = now + load_time(s, slot->key);
-		slot->state = COMING;
+		slot->check_at = now + expected_load_ms(s, slot->key);
+		slot->phase = LOADING;
 		slot->accepted = true;
 		s->sequence++;
 		return;
 	}
 	if (slot->fetch)
-		s->fetched_ms = (uint32_t)MAX(now - slot->begun, 1);
+		s->fetched_ms = (uint32_t)MAX(now - slot->started_at, 1);
 	slot->fetch = false;
 	slot->accepted = false;
-	slot->state = RESIDENT;
+	slot->phase = RESIDENT;
 	slot->version = MAX(slot->newest, 1);
-	g_hash_table_add(s->held_once,
+	g_hash_table_add(s->loaded_before,
 			 g_memdup2(&slot->key, sizeof(slot->key)));
 }
 
-static void unload_result(struct fg_slots *s, fg_ms now, struct fg_slot *slot,
-			  enum fg_order_result result)
+static void handle_unload_result(struct fg_slots *s, fg_ms now,
+				 struct fg_slot *slot,
+				 enum fg_order_result result)
 {
 	if (!slot->accepted)
 		s->sequence++;
 	if (result == FG_ORDER_ACCEPTED) {
-		/* It waits for its runs. */
+		/* The engine unloads once the adapter's runs have ended. */
 		slot->accepted = true;
 		slot->check_at = now + UNLOAD_CHECK_MS;
 		return;
@@ -73,7 +78,7 @@
 void fg_slots_handle_result(struct fg_slots *s, fg_ms now,
 			    enum fg_order_result result)
 {
-	struct fg_slot *slot = fg_slot_of(s, s->sent_key);
+	struct fg_slot *slot = fg_slot_find(s, s->sent_key);
 	enum fg_slots_act sent = s->sent;
 
 	s->sent = FG_SLOTS_NOTHING;
@@ -81,64 +86,66 @@
 		return;
 	if (result == FG_ORDER_ACCEPTED || result == FG_ORDER_HOLDS) {
 		if (sent == FG_SLOTS_LOAD)
-			load_result(s, now, slot, result);
+			handle_load_result(s, now, slot, result);
 		else
-			unload_result(s, now, slot, result);
+			handle_unload_result(s, now, slot, result);
 		return;
 	}
 	if (result == FG_ORDER_CONFLICT) {
-		s->stale = true;
-		s->stale_sequence = s->sequence;
+		s->has_refused = true;
+		s->refused_sequence = s->sequence;
 	}
-	resync(s, result == FG_ORDER_REFUSED ? now + REFUSED_WAIT_MS : now);
+	start_resync(s,
+		     result == FG_ORDER_REFUSED ? now + REFUSED_WAIT_MS : now);
 }
 
 /* ---- Reports ---- */
 
-static void take_base(struct fg_slots *s, const struct fg_ep_resident *r,
-		      enum fg_slot_phase state)
+static void set_reported_base(struct fg_slots *s,
+			      const struct fg_ep_resident *r,
+			      enum fg_slot_phase phase)
 {
-	if (s->base.state == RESIDENT)
+	if (s->base.phase == RESIDENT)
 		return;
 	g_strlcpy(s->base.model, r->model, sizeof(s->base.model));
 	s->base.key = fg_adapter_key(r->model, "");
-	s->base.state = state;
+	s->base.phase = phase;
 	s->base.version = MAX(r->version, 1);
-	s->base.accepted = state == COMING;
+	s->base.accepted = phase == LOADING;
 }
 
-static void take_resident(struct fg_slots *s, fg_ms now,
-			  const struct fg_ep_resident *r,
-			  enum fg_slot_phase state, const struct fg_slot *old,
-			  uint32_t n_old)
+static void set_reported_slot(struct fg_slots *s, fg_ms now,
+			      const struct fg_ep_resident *r,
+			      enum fg_slot_phase phase,
+			      const struct fg_slot *old, uint32_t n_old)
 {
 	struct fg_slot *slot;
 	uint64_t key;
 
 	if (r->adapter[0] == '\0') {
-		take_base(s, r, state);
+		set_reported_base(s, r, phase);
 		return;
 	}
 	key = fg_adapter_key(r->model, r->adapter);
-	slot = fg_slot_of(s, key);
+	slot = fg_slot_find(s, key);
 	if (slot == NULL)
 		slot = fg_slots_add(s, now, r->model, r->adapter);
 	if (slot == NULL)
 		return;
-	slot->state = state;
-	if (state == RESIDENT)
+	slot->phase = phase;
+	if (phase == RESIDENT)
 		slot->version = r->version;
 	else
 		slot->check_at = now + FG_SLOTS_CHECK_MS;
-	slot->accepted = state == COMING;
+	slot->accepted = phase == LOADING;
 	for (uint32_t i = 0; i < n_old; i++) {
 		if (old[i].key != key)
 			continue;
-		slot->used = old[i].used;
-		slot->begun = old[i].begun;
-		slot->fetch = state == COMING && old[i].fetch;
+		slot->used_at = old[i].used_at;
+		slot->started_at = old[i].started_at;
+		slot->fetch = phase == LOADING && old[i].fetch;
 	}
-	g_hash_table_add(s->held_once, g_memdup2(&key, sizeof(key)));
+	g_hash_table_add(s->loaded_before, g_memdup2(&key, sizeof(key)));
 }
 
 void fg_slots_handle_report(struct fg_slots *s, fg_ms now,
@@ -151,21 +158,22 @@
 	s->report_at = now + REPORT_RETRY_MS;
 	if (report == NULL || s->synced || report->busy)
 		return;
-	/* The report may be older than the answer that started this. */
-	if (s->stale && report->sequence == s->stale_sequence) {
-		s->stale = false;
+	/* The report may be older than the conflict that led to this resync. */
+	if (s->has_refused && report->sequence == s->refused_sequence) {
+		s->has_refused = false;
 		return;
 	}
 	memcpy(old, s->slots, sizeof(old));
 	s->n = 0;
-	fg_slots_clear_base(s);
+	fg_slots_reset_base(s);
 	for (uint32_t i = 0; i < report->n_resident; i++)
-		take_resident(s, now, &report->resident[i], RESIDENT, old,
-			      n_old);
+		set_reported_slot(s, now, &report->resident[i], RESIDENT, old,
+				  n_old);
 	for (uint32_t i = 0; i < report->n_coming; i++)
-		take_resident(s, now, &report->coming[i], COMING, old, n_old);
+		set_reported_slot(s, now, &report->coming[i], LOADING, old,
+				  n_old);
 	s->sequence = report->sequence;
-	s->stale = false;
+	s->has_refused = false;
 	s->synced = true;
-	s->known = true;
+	s->ever_synced = true;
 }
--- a/tests/unit/test_slots.c
+++ b/tests/unit/test_slots.c
@@ -1,6 +1,7 @@
 /*
- * Adapter slots of one engine: what is ordered, with which sequence, and that
- * no fault of the engine or the network makes the adapters exceed the slots.
+ * Adapter slots of one engine: which orders are sent with which sequence, and
+ * that no fault of the engine or the network makes the adapters exceed the
+ * slots.
  */
 #include <glib.h>
 #include <string.h>
@@ -12,7 +13,7 @@
 #define MODEL "m"
 #define SLOTS 3
 
-static struct fg_slots *make(void)
+static struct fg_slots *slots_new(void)
 {
 	struct fg_slots_conf conf = {
 		.model = MODEL,
@@ -26,8 +27,8 @@
 	return fg_slots_new(&conf);
 }
 
-static void list(struct fg_ep_resident *r, const char *adapter,
-		 uint64_t version)
+static void set_resident(struct fg_ep_resident *r, const char *adapter,
+			 uint64_t version)
 {
 	memset(r, 0, sizeof(*r));
 	g_strlcpy(r->model, MODEL, sizeof(r->model));
@@ -39,11 +40,12 @@
 {
 	struct fg_report report = { .sequence = sequence, .n_resident = 1 };
 
-	list(&report.resident[0], "", 1);
+	set_resident(&report.resident[0], "", 1);
 	return report;
 }
 
-static void sync_empty(struct fg_slots *s, fg_ms now, uint64_t sequence)
+static void sync_without_adapters(struct fg_slots *s, fg_ms now,
+				  uint64_t sequence)
 {
 	struct fg_report report = base_report(sequence);
 	struct fg_slots_step step = fg_slots_next(s, now, true);
@@ -52,17 +54,17 @@
 	fg_slots_handle_report(s, now, &report);
 }
 
-static uint64_t key(const char *adapter)
+static uint64_t key_of(const char *adapter)
 {
 	return fg_adapter_key(MODEL, adapter);
 }
 
 static void test_load_and_confirm(void)
 {
-	struct fg_slots *s = make();
+	struct fg_slots *s = slots_new();
 	struct fg_slots_step step;
 
-	sync_empty(s, 1000, 7);
+	sync_without_adapters(s, 1000, 7);
 	g_assert_cmpint(fg_slots_request_load(s, 1000, MODEL, "a1", 0), ==,
 			FG_SLOT_PENDING);
 	step = fg_slots_next(s, 1000, true);
@@ -76,20 +78,21 @@
 	step = fg_slots_next(s, 1252, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
 	fg_slots_handle_result(s, 1253, FG_ORDER_HOLDS);
-	g_assert_cmpint(fg_slots_state(s, key("a1")), ==, FG_SLOT_RESIDENT);
+	g_assert_cmpint(fg_slots_state(s, key_of("a1")), ==, FG_SLOT_RESIDENT);
 	g_assert_cmpuint(fg_slots_take_fetched_ms(s), ==, 253);
 	g_assert_cmpuint(fg_slots_take_fetched_ms(s), ==, 0);
 	fg_slots_free(s);
 }
 
-/* An engine takes the repeat of an order that it carries out, and does not
- * count it: counting it here gave 409 to every later order. */
+/* An engine accepts a repeat of an order that it is carrying out without
+ * counting it. Counting it here made the engine answer 409 to every later
+ * order. */
 static void test_repeat_is_not_counted(void)
 {
-	struct fg_slots *s = make();
+	struct fg_slots *s = slots_new();
 	struct fg_slots_step step;
 
-	sync_empty(s, 1000, 7);
+	sync_without_adapters(s, 1000, 7);
 	fg_slots_request_load(s, 1000, MODEL, "a1", 0);
 	fg_slots_next(s, 1000, true);
 	fg_slots_handle_result(s, 1000, FG_ORDER_ACCEPTED);
@@ -109,32 +112,33 @@
 	fg_slots_free(s);
 }
 
-/* A want that waited for a report may be met by it: taken up once more, the
- * adapter had two slots, and the second was ordered without end. */
-static void test_want_met_by_report(void)
+/* A report may already list the adapter of a queued request. When the request
+ * was started nevertheless, the adapter got two slots and the second one was
+ * ordered forever. */
+static void test_request_satisfied_by_report(void)
 {
-	struct fg_slots *s = make();
+	struct fg_slots *s = slots_new();
 	struct fg_report report = base_report(9);
 	struct fg_slots_step step;
 
 	fg_slots_request_load(s, 1000, MODEL, "a1", 0);
 	step = fg_slots_next(s, 1000, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_REPORT);
-	list(&report.coming[0], "a1", 1);
+	set_resident(&report.coming[0], "a1", 1);
 	report.n_coming = 1;
 	fg_slots_handle_report(s, 1000, &report);
 	for (fg_ms now = 1001; now < 1030; now++) {
 		step = fg_slots_next(s, now, true);
 		g_assert_cmpint(step.act, ==, FG_SLOTS_NOTHING);
 	}
-	g_assert_cmpint(fg_slots_state(s, key("a1")), ==, FG_SLOT_PENDING);
+	g_assert_cmpint(fg_slots_state(s, key_of("a1")), ==, FG_SLOT_PENDING);
 	fg_slots_free(s);
 }
 
-/* An engine that restarted holds nothing, its base model neither. */
-static void test_base_model_first(void)
+/* An engine that restarted holds no adapter and no base model. */
+static void test_base_model_loads_first(void)
 {
-	struct fg_slots *s = make();
+	struct fg_slots *s = slots_new();
 	struct fg_report report = { .sequence = 0 };
 	struct fg_slots_step step;
 
@@ -158,7 +162,7 @@
 	fg_slots_free(s);
 }
 
-static void fill(struct fg_slots *s, fg_ms now)
+static void fill_slots(struct fg_slots *s, fg_ms now)
 {
 	static const char *const names[SLOTS] = { "a1", "a2", "a3" };
 
@@ -170,20 +174,20 @@
 	}
 }
 
-static void test_victim_is_idle(void)
+static void test_evicts_least_recently_used(void)
 {
-	struct fg_slots *s = make();
+	struct fg_slots *s = slots_new();
 	struct fg_slots_step step;
 
-	sync_empty(s, 1000, 0);
-	fill(s, 1000);
-	fg_slots_mark_used(s, 5000, key("a1"));
-	fg_slots_mark_used(s, 4950, key("a3"));
+	sync_without_adapters(s, 1000, 0);
+	fill_slots(s, 1000);
+	fg_slots_mark_used(s, 5000, key_of("a1"));
+	fg_slots_mark_used(s, 4950, key_of("a3"));
 	fg_slots_request_load(s, 5000, MODEL, "a4", 0);
 	step = fg_slots_next(s, 5000, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_UNLOAD);
 	g_assert_cmpstr(step.adapter, ==, "a2");
-	/* While it waits for its runs, no load begins. */
+	/* No load starts while the unload waits for runs to end. */
 	fg_slots_handle_result(s, 5000, FG_ORDER_ACCEPTED);
 	step = fg_slots_next(s, 5001, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_NOTHING);
@@ -196,17 +200,17 @@
 	fg_slots_free(s);
 }
 
-static void test_none_idle(void)
+static void test_no_eviction_when_all_in_use(void)
 {
-	struct fg_slots *s = make();
+	struct fg_slots *s = slots_new();
 
-	sync_empty(s, 1000, 0);
-	fill(s, 1000);
+	sync_without_adapters(s, 1000, 0);
+	fill_slots(s, 1000);
 	for (uint32_t i = 1; i <= SLOTS; i++) {
 		char name[8];
 
 		g_snprintf(name, sizeof(name), "a%u", i);
-		fg_slots_mark_used(s, 2000, key(name));
+		fg_slots_mark_used(s, 2000, key_of(name));
 	}
 	g_assert_cmpuint(fg_slots_spare_age_ms(s, 2000), ==, 0);
 	fg_slots_request_load(s, 2000, MODEL, "a4", 0);
@@ -214,35 +218,35 @@
 	fg_slots_free(s);
 }
 
-static void test_version_replaced(void)
+static void test_outdated_version_is_reloaded(void)
 {
-	struct fg_slots *s = make();
-	struct fg_fleet_held held[FG_SLOTS_MAX + 1];
+	struct fg_slots *s = slots_new();
+	struct fg_fleet_held resident[FG_SLOTS_MAX + 1];
 	struct fg_slots_step step;
 
-	sync_empty(s, 1000, 0);
-	fill(s, 1000);
-	g_assert_cmpuint(fg_slots_list_resident(s, held), ==, SLOTS + 1);
-	fg_slots_announce_version(s, key("a2"), 5);
-	g_assert_cmpuint(fg_slots_list_resident(s, held), ==, SLOTS);
+	sync_without_adapters(s, 1000, 0);
+	fill_slots(s, 1000);
+	g_assert_cmpuint(fg_slots_list_resident(s, resident), ==, SLOTS + 1);
+	fg_slots_announce_version(s, key_of("a2"), 5);
+	g_assert_cmpuint(fg_slots_list_resident(s, resident), ==, SLOTS);
 	step = fg_slots_next(s, 1100, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
 	g_assert_cmpstr(step.adapter, ==, "a2");
 	g_assert_cmpuint(step.version, ==, 5);
 	fg_slots_handle_result(s, 1100, FG_ORDER_HOLDS);
-	g_assert_cmpuint(fg_slots_list_resident(s, held), ==, SLOTS + 1);
+	g_assert_cmpuint(fg_slots_list_resident(s, resident), ==, SLOTS + 1);
 	g_assert_cmpint(fg_slots_next(s, 1101, true).act, ==, FG_SLOTS_NOTHING);
 	fg_slots_free(s);
 }
 
-/* A report may be older than the refusal that asked for it. */
-static void test_old_report(void)
+/* A report may be older than the conflict that it was requested for. */
+static void test_outdated_report_is_ignored(void)
 {
-	struct fg_slots *s = make();
+	struct fg_slots *s = slots_new();
 	struct fg_report report = base_report(0);
 	struct fg_slots_step step;
 
-	sync_empty(s, 1000, 0);
+	sync_without_adapters(s, 1000, 0);
 	fg_slots_request_load(s, 1000, MODEL, "a1", 0);
 	fg_slots_next(s, 1000, true);
 	fg_slots_handle_result(s, 1000, FG_ORDER_CONFLICT);
@@ -260,12 +264,12 @@
 	fg_slots_free(s);
 }
 
-static void test_young_wants_first(void)
+static void test_recent_request_first(void)
 {
-	struct fg_slots *s = make();
+	struct fg_slots *s = slots_new();
 	struct fg_slots_step step;
 
-	sync_empty(s, 1000, 0);
+	sync_without_adapters(s, 1000, 0);
 	fg_slots_request_load(s, 1000, MODEL, "old", 0);
 	for (fg_ms now = 1100; now < 2000; now += 100)
 		fg_slots_request_load(s, now, MODEL, "old", 0);
@@ -277,37 +281,38 @@
 	fg_slots_free(s);
 }
 
-/* ---- Seeded interleavings ---- */
+/* ---- Random interleavings, one per seed ---- */
 
-/* An engine as the platform describes it: it checks the sequence, takes orders
- * late or loses their answers, and reports with a lag. */
+/* Models an engine as the platform specifies it: the engine checks the
+ * sequence, may apply an order late or lose the answer to it, and reports with
+ * a lag. */
 struct engine {
-	char held[64][FG_FLEET_NAME_BYTES];
+	char resident[64][FG_FLEET_NAME_BYTES];
 	uint32_t n;
 	uint64_t sequence;
-	struct fg_report old;
+	struct fg_report lagged_report;
 	struct {
 		bool load;
 		char adapter[FG_FLEET_NAME_BYTES];
 		uint64_t expected;
 		fg_ms at;
-	} late[8];
-	uint32_t n_late;
+	} delayed[8];
+	uint32_t n_delayed;
 };
 
-static int held_at(const struct engine *e, const char *adapter)
+static int index_of(const struct engine *e, const char *adapter)
 {
 	for (uint32_t i = 0; i < e->n; i++) {
-		if (strcmp(e->held[i], adapter) == 0)
+		if (strcmp(e->resident[i], adapter) == 0)
 			return (int)i;
 	}
 	return -1;
 }
 
-static enum fg_order_result order(struct engine *e, bool load,
-				  const char *adapter, uint64_t expected)
+static enum fg_order_result engine_order(struct engine *e, bool load,
+					 const char *adapter, uint64_t expected)
 {
-	int at = held_at(e, adapter);
+	int at = index_of(e, adapter);
 
 	if (load == (at >= 0))
 		return FG_ORDER_HOLDS;
@@ -315,36 +320,39 @@
 		return FG_ORDER_CONFLICT;
 	e->sequence++;
 	if (load)
-		g_strlcpy(e->held[e->n++], adapter, FG_FLEET_NAME_BYTES);
+		g_strlcpy(e->resident[e->n++], adapter, FG_FLEET_NAME_BYTES);
 	else
-		g_strlcpy(e->held[at], e->held[--e->n], FG_FLEET_NAME_BYTES);
-	/* More than the slots crashes a replica. */
+		g_strlcpy(e->resident[at], e->resident[--e->n],
+			  FG_FLEET_NAME_BYTES);
+	/* An engine with more adapters than slots crashes. */
 	g_assert_cmpuint(e->n, <=, SLOTS);
 	return load ? FG_ORDER_ACCEPTED : FG_ORDER_HOLDS;
 }
 
-static struct fg_report look(const struct engine *e)
+static struct fg_report engine_report(const struct engine *e)
 {
 	struct fg_report report = base_report(e->sequence);
 
 	for (uint32_t i = 0; i < e->n; i++)
-		list(&report.resident[report.n_resident++], e->held[i], 1);
+		set_resident(&report.resident[report.n_resident++],
+			     e->resident[i], 1);
 	return report;
 }
 
-static void act_late(struct engine *e, fg_ms now)
+static void apply_delayed(struct engine *e, fg_ms now)
 {
-	for (uint32_t i = e->n_late; i > 0; i--) {
-		if (e->late[i - 1].at > now)
+	for (uint32_t i = e->n_delayed; i > 0; i--) {
+		if (e->delayed[i - 1].at > now)
 			continue;
-		order(e, e->late[i - 1].load, e->late[i - 1].adapter,
-		      e->late[i - 1].expected);
-		e->late[i - 1] = e->late[--e->n_late];
+		engine_order(e, e->delayed[i - 1].load,
+			     e->delayed[i - 1].adapter,
+			     e->delayed[i - 1].expected);
+		e->delayed[i - 1] = e->delayed[--e->n_delayed];
 	}
 }
 
-static void carry_out(struct engine *e, struct fg_slots *s, fg_ms now,
-		      const struct fg_slots_step *step, struct fg_rand *rand)
+static void send_order(struct engine *e, struct fg_slots *s, fg_ms now,
+		       const struct fg_slots_step *step, struct fg_rand *rand)
 {
 	bool load = step->act == FG_SLOTS_LOAD;
 	char adapter[FG_FLEET_NAME_BYTES];
@@ -352,61 +360,64 @@
 
 	g_strlcpy(adapter, step->adapter, sizeof(adapter));
 	switch (fg_rand_below(rand, 6)) {
-	case 0: /* lost, acts later */
-		if (e->n_late < G_N_ELEMENTS(e->late)) {
-			e->late[e->n_late].load = load;
-			e->late[e->n_late].expected = step->expected_sequence;
-			e->late[e->n_late].at =
+	case 0: /* no answer, applied later */
+		if (e->n_delayed < G_N_ELEMENTS(e->delayed)) {
+			e->delayed[e->n_delayed].load = load;
+			e->delayed[e->n_delayed].expected =
+				step->expected_sequence;
+			e->delayed[e->n_delayed].at =
 				now + (fg_ms)fg_rand_below(rand, 5000);
-			g_strlcpy(e->late[e->n_late++].adapter, adapter,
-				  sizeof(e->late[0].adapter));
+			g_strlcpy(e->delayed[e->n_delayed++].adapter, adapter,
+				  sizeof(e->delayed[0].adapter));
 		}
 		fg_slots_handle_result(s, now, FG_ORDER_UNKNOWN);
 		break;
-	case 1: /* done, answer lost */
-		order(e, load, adapter, step->expected_sequence);
+	case 1: /* applied, answer lost */
+		engine_order(e, load, adapter, step->expected_sequence);
 		fg_slots_handle_result(s, now, FG_ORDER_UNKNOWN);
 		break;
 	default:
-		result = order(e, load, adapter, step->expected_sequence);
+		result =
+			engine_order(e, load, adapter, step->expected_sequence);
 		fg_slots_handle_result(s, now, result);
 	}
 }
 
 static void run_seed(uint64_t seed)
 {
-	struct fg_slots *s = make();
+	struct fg_slots *s = slots_new();
 	struct engine e = { 0 };
 	struct fg_rand rand;
-	uint32_t residents = 0;
+	uint32_t resident_answers = 0;
 
 	fg_rand_seed(&rand, seed);
-	e.old = look(&e);
+	e.lagged_report = engine_report(&e);
 	for (fg_ms now = 1000; now < 60000; now += 10) {
 		struct fg_slots_step step;
 		char name[8];
 
-		act_late(&e, now);
+		apply_delayed(&e, now);
 		if (now % 200 == 0)
-			e.old = look(&e);
+			e.lagged_report = engine_report(&e);
 		g_snprintf(name, sizeof(name), "a%u",
 			   (unsigned int)fg_rand_below(&rand, 8));
 		if (now % 100 == 0)
-			residents +=
+			resident_answers +=
 				fg_slots_request_load(s, now, MODEL, name, 0) ==
 						FG_SLOT_RESIDENT
 					? 1
 					: 0;
 		step = fg_slots_next(s, now, true);
 		if (step.act == FG_SLOTS_REPORT)
-			fg_slots_handle_report(
-				s, now,
-				fg_rand_below(&rand, 5) == 0 ? NULL : &e.old);
+			fg_slots_handle_report(s, now,
+					       fg_rand_below(&rand, 5) == 0
+						       ? NULL
+						       : &e.lagged_report);
 		else if (step.act != FG_SLOTS_NOTHING)
-			carry_out(&e, s, now, &step, &rand);
+			send_order(&e, s, now, &step, &rand);
 	}
-	/* Wants are met for much of the time in spite of the faults. */
-	g_assert_cmpuint(residents, >, 20);
+	/* Requests still find their adapter resident despite the faults. */
+	g_assert_cmpuint(resident_answers, >, 20);
 	fg_slots_free(s);
 }
 
@@ -416,7 +427,7 @@
 		run_seed(seed);
 }
 
-/* ---- Window of loads ---- */
+/* ---- Load window ---- */
 
 static void test_loadgate(void)
 {
@@ -434,7 +445,7 @@
 	g_assert_false(fg_loadgate_is_open(&g, 1));
 	g_assert_cmpuint(fg_loadgate_wait_ms(&g, 0, 0), ==, 0);
 	g_assert_cmpuint(fg_loadgate_wait_ms(&g, 1, 2), >, 1500);
-	/* Loads that were few do not widen it. */
+	/* Loads that leave the window unused do not widen it. */
 	fg_loadgate_init(&g, 250);
 	for (int i = 0; i < 20; i++)
 		fg_loadgate_record_load(&g, 250, 0);
@@ -446,13 +457,13 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/slots/load", test_load_and_confirm);
 	g_test_add_func("/slots/repeat", test_repeat_is_not_counted);
-	g_test_add_func("/slots/want_met", test_want_met_by_report);
-	g_test_add_func("/slots/base_model", test_base_model_first);
-	g_test_add_func("/slots/victim", test_victim_is_idle);
-	g_test_add_func("/slots/none_idle", test_none_idle);
-	g_test_add_func("/slots/version", test_version_replaced);
-	g_test_add_func("/slots/old_report", test_old_report);
-	g_test_add_func("/slots/young_first", test_young_wants_first);
+	g_test_add_func("/slots/want_met", test_request_satisfied_by_report);
+	g_test_add_func("/slots/base_model", test_base_model_loads_first);
+	g_test_add_func("/slots/victim", test_evicts_least_recently_used);
+	g_test_add_func("/slots/none_idle", test_no_eviction_when_all_in_use);
+	g_test_add_func("/slots/version", test_outdated_version_is_reloaded);
+	g_test_add_func("/slots/old_report", test_outdated_report_is_ignored);
+	g_test_add_func("/slots/young_first", test_recent_request_first);
 	g_test_add_func("/slots/seeds", test_seeds);
 	g_test_add_func("/slots/loadgate", test_loadgate);
 	return g_test_run();
