--- a/lib/fleet/fg_fleet.c
+++ b/lib/fleet/fg_fleet.c
@@ -8,16 +8,16 @@
 	fg_region_of region_of;
 	fg_ep_dropped dropped;
 	void *ctx;
-	GPtrArray *eps;	   /* struct fg_fleet_ep *, one reference each */
-	GHashTable *by_id; /* id -> struct fg_fleet_ep * */
-	GHashTable *fresh; /* ids put since read_begin; NULL outside */
+	GPtrArray *eps;		/* struct fg_fleet_ep *, one reference each */
+	GHashTable *by_id;	/* id -> struct fg_fleet_ep * */
+	GHashTable *reread_ids; /* put since read_begin; NULL outside a read */
 	bool up;
 	fg_ms up_since; /* end of the last outage; FG_MS_NEVER: none yet */
 	fg_ms down_since;
 };
 
-/* An outage shorter than this cannot have made entries lapse: it is less than
- * the three missed heartbeats after which they do. */
+/* A shorter outage cannot have made entries lapse: they lapse after three
+ * missed heartbeats, which take longer. */
 #define OUTAGE_MIN_MS 500
 
 struct fg_fleet *fg_fleet_new(fg_region_of region_of, fg_ep_dropped dropped,
@@ -35,7 +35,7 @@
 	return f;
 }
 
-static void drop(struct fg_fleet *f, struct fg_fleet_ep *ep)
+static void drop_ep(struct fg_fleet *f, struct fg_fleet_ep *ep)
 {
 	g_hash_table_remove(f->by_id, ep->facts.id);
 	g_ptr_array_remove_fast(f->eps, ep);
@@ -47,11 +47,11 @@
 void fg_fleet_free(struct fg_fleet *f)
 {
 	while (f->eps->len > 0)
-		drop(f, f->eps->pdata[0]);
+		drop_ep(f, f->eps->pdata[0]);
 	g_ptr_array_unref(f->eps);
 	g_hash_table_unref(f->by_id);
-	if (f->fresh != NULL)
-		g_hash_table_unref(f->fresh);
+	if (f->reread_ids != NULL)
+		g_hash_table_unref(f->reread_ids);
 	g_free(f);
 }
 
@@ -68,7 +68,7 @@
 		g_free(ep);
 }
 
-/* ---- The registry's own state ---- */
+/* ---- Availability of the registry ---- */
 
 void fg_fleet_registry_up(struct fg_fleet *f, fg_ms now)
 {
@@ -87,8 +87,8 @@
 	f->down_since = now;
 }
 
-/* May a removal seen now be a lapse of an outage that just ended? */
-static bool lapses_expected(const struct fg_fleet *f, fg_ms now)
+/* Returns whether a removal may be a lapse caused by a recent outage. */
+static bool is_lapse_expected(const struct fg_fleet *f, fg_ms now)
 {
 	return f->up_since != FG_MS_NEVER &&
 	       now - f->up_since < FG_FLEET_LAPSE_GRACE_MS;
@@ -96,7 +96,7 @@
 
 /* ---- Entries ---- */
 
-static struct fg_fleet_ep *ep_new(struct fg_fleet *f, fg_ms now, const char *id)
+static struct fg_fleet_ep *add_ep(struct fg_fleet *f, fg_ms now, const char *id)
 {
 	struct fg_fleet_ep *ep = g_new0(struct fg_fleet_ep, 1);
 
@@ -110,8 +110,8 @@
 	return ep;
 }
 
-/* A new start under the same id knows nothing of the one before. */
-static void forget_start(struct fg_fleet_ep *ep)
+/* A restarted endpoint keeps its id but none of its state. */
+static void reset_state(struct fg_fleet_ep *ep)
 {
 	ep->n_adapters = 0;
 	ep->resident_at = 0;
@@ -128,27 +128,27 @@
 	struct fg_fleet_ep *ep = g_hash_table_lookup(f->by_id, facts->id);
 
 	if (ep == NULL) {
-		ep = ep_new(f, now, facts->id);
+		ep = add_ep(f, now, facts->id);
 	} else if (ep->facts.born != facts->born ||
 		   strcmp(ep->facts.address, facts->address) != 0) {
-		forget_start(ep);
+		reset_state(ep);
 	}
 	ep->facts = *facts;
 	ep->listed = true;
 	ep->lapsed_until = 0;
 	g_strlcpy(ep->region, f->region_of(f->ctx, facts->dc),
 		  sizeof(ep->region));
-	if (f->fresh != NULL)
-		g_hash_table_add(f->fresh, g_strdup(facts->id));
+	if (f->reread_ids != NULL)
+		g_hash_table_add(f->reread_ids, g_strdup(facts->id));
 	return ep;
 }
 
-static void unlist(struct fg_fleet *f, struct fg_fleet_ep *ep, fg_ms now)
+static void mark_removed(struct fg_fleet *f, struct fg_fleet_ep *ep, fg_ms now)
 {
 	if (!ep->listed)
 		return;
 	ep->listed = false;
-	if (lapses_expected(f, now) && !ep->facts.draining)
+	if (is_lapse_expected(f, now) && !ep->facts.draining)
 		ep->lapsed_until = f->up_since + FG_FLEET_LAPSE_GRACE_MS;
 }
 
@@ -157,27 +157,28 @@
 	struct fg_fleet_ep *ep = g_hash_table_lookup(f->by_id, id);
 
 	if (ep != NULL)
-		unlist(f, ep, now);
+		mark_removed(f, ep, now);
 }
 
 void fg_fleet_read_begin(struct fg_fleet *f)
 {
-	if (f->fresh != NULL)
-		g_hash_table_unref(f->fresh);
-	f->fresh = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	if (f->reread_ids != NULL)
+		g_hash_table_unref(f->reread_ids);
+	f->reread_ids =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
 void fg_fleet_read_end(struct fg_fleet *f, fg_ms now)
 {
-	g_assert(f->fresh != NULL);
+	g_assert(f->reread_ids != NULL);
 	for (guint i = 0; i < f->eps->len; i++) {
 		struct fg_fleet_ep *ep = f->eps->pdata[i];
 
-		if (!g_hash_table_contains(f->fresh, ep->facts.id))
-			unlist(f, ep, now);
+		if (!g_hash_table_contains(f->reread_ids, ep->facts.id))
+			mark_removed(f, ep, now);
 	}
-	g_hash_table_unref(f->fresh);
-	f->fresh = NULL;
+	g_hash_table_unref(f->reread_ids);
+	f->reread_ids = NULL;
 }
 
 void fg_fleet_tick(struct fg_fleet *f, fg_ms now)
@@ -186,7 +187,7 @@
 		struct fg_fleet_ep *ep = f->eps->pdata[i - 1];
 
 		if (!ep->listed && now >= ep->lapsed_until && ep->running == 0)
-			drop(f, ep);
+			drop_ep(f, ep);
 	}
 }
 
@@ -234,8 +235,8 @@
 	return NULL;
 }
 
-/* The entry to give up: not resident, not in use, unused for longest. */
-static struct fg_ep_adapter *oldest(struct fg_fleet_ep *ep)
+/* The least recently used record that is neither resident nor in use. */
+static struct fg_ep_adapter *find_evictable(struct fg_fleet_ep *ep)
 {
 	struct fg_ep_adapter *best = NULL;
 
@@ -260,7 +261,7 @@
 	if (ep->n_adapters < FG_EP_ADAPTERS_MAX)
 		a = &ep->adapters[ep->n_adapters++];
 	else
-		a = oldest(ep);
+		a = find_evictable(ep);
 	if (a == NULL)
 		return NULL;
 	memset(a, 0, sizeof(*a));
--- a/lib/fleet/fg_health.c
+++ b/lib/fleet/fg_health.c
@@ -1,16 +1,16 @@
 #include "fleet/fg_health.h"
 
-/* One failure can be a single broken connection; two in a row are a sign. */
+/* One failure can be a single broken connection, two in a row rarely are. */
 #define FAILURES_TO_EJECT 2
-/* An endpoint restarts in a few seconds; the first retry comes earlier. */
+/* An endpoint restarts within a few seconds. The first retry comes earlier. */
 #define EJECT_MIN_MS 500
 #define EJECT_MAX_MS 4000
-/* Share of the newest sample in the moving averages. */
+/* Weights of the newest sample in the moving averages. */
 #define ERROR_GAIN 0.1
 #define SLOWNESS_GAIN 0.1
 #define SLOWNESS_MIN 0.5
 #define SLOWNESS_MAX 10.0
-/* Expected times below this are dominated by the network. */
+/* The network dominates times below this. */
 #define EXPECTED_FLOOR_MS 60
 
 void fg_health_record_answer(struct fg_fleet_ep *ep, fg_ms now, bool error)
--- a/lib/fleet/fg_uses.c
+++ b/lib/fleet/fg_uses.c
@@ -12,7 +12,7 @@
 	u->list = NULL;
 }
 
-static struct fg_use *at(const struct fg_uses *u, guint i)
+static struct fg_use *entry_at(const struct fg_uses *u, guint i)
 {
 	return &g_array_index(u->list, struct fg_use, i);
 }
@@ -20,7 +20,7 @@
 void fg_uses_put(struct fg_uses *u, const struct fg_use *use)
 {
 	for (guint i = 0; i < u->list->len; i++) {
-		struct fg_use *old = at(u, i);
+		struct fg_use *old = entry_at(u, i);
 
 		if (old->instance != use->instance ||
 		    old->adapter != use->adapter)
@@ -38,7 +38,7 @@
 void fg_uses_expire(struct fg_uses *u, fg_ms now)
 {
 	for (guint i = u->list->len; i > 0; i--) {
-		if (now - at(u, i - 1)->reported_at > FG_USES_TTL_MS)
+		if (now - entry_at(u, i - 1)->reported_at > FG_USES_TTL_MS)
 			g_array_remove_index_fast(u->list, i - 1);
 	}
 }
@@ -48,7 +48,7 @@
 	uint32_t sum = 0;
 
 	for (guint i = 0; i < u->list->len; i++)
-		sum += at(u, i)->running;
+		sum += entry_at(u, i)->running;
 	return sum;
 }
 
@@ -57,6 +57,6 @@
 	uint32_t sum = 0;
 
 	for (guint i = 0; i < u->list->len; i++)
-		sum += at(u, i)->pending_tokens;
+		sum += entry_at(u, i)->pending_tokens;
 	return sum;
 }
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -1,4 +1,5 @@
-/* Endpoints as an instance knows them, their health, and what is in flight. */
+/* Records of endpoints, their health, requests in flight, lost requests, and
+ * the choice of an endpoint. */
 #include <glib.h>
 #include <string.h>
 
@@ -16,21 +17,21 @@
 	return strcmp(dc, "east") == 0 ? "r1" : "r2";
 }
 
-static void dropped(void *ctx, struct fg_fleet_ep *ep)
+static void count_dropped(void *ctx, struct fg_fleet_ep *ep)
 {
 	(void)ctx;
 	(void)ep;
 	n_dropped++;
 }
 
-static struct fg_fleet *make(void)
+static struct fg_fleet *fleet_new(void)
 {
 	n_dropped = 0;
-	return fg_fleet_new(region_of, dropped, NULL);
+	return fg_fleet_new(region_of, count_dropped, NULL);
 }
 
-static struct fg_fleet_ep *put(struct fg_fleet *f, fg_ms now, const char *id,
-			       bool draining)
+static struct fg_fleet_ep *put_ep(struct fg_fleet *f, fg_ms now, const char *id,
+				  bool draining)
 {
 	struct fg_ep_facts facts = { .draining = draining, .slots = 6 };
 
@@ -41,15 +42,15 @@
 	return fg_fleet_put(f, now, &facts);
 }
 
-static void test_leaving(void)
+static void test_leaving_is_not_usable(void)
 {
-	struct fg_fleet *f = make();
-	struct fg_fleet_ep *ep = put(f, 1000, "e1", false);
+	struct fg_fleet *f = fleet_new();
+	struct fg_fleet_ep *ep = put_ep(f, 1000, "e1", false);
 
 	g_assert_true(fg_ep_is_usable(ep, 1000));
-	put(f, 1100, "e1", true);
+	put_ep(f, 1100, "e1", true);
 	g_assert_false(fg_ep_is_usable(ep, 1100));
-	put(f, 1100, "e2", false);
+	put_ep(f, 1100, "e2", false);
 	fg_fleet_remove(f, 1200, "e2");
 	g_assert_false(fg_ep_is_usable(fg_fleet_find(f, "e2"), 1200));
 	fg_fleet_tick(f, 1200);
@@ -58,33 +59,33 @@
 	fg_fleet_free(f);
 }
 
-/* Entries that lapse while the registry is away are back in about two seconds
- * or gone. */
-static void test_lapse(void)
+/* An endpoint whose entry lapsed in an outage of the registry stays usable for
+ * the grace period and is dropped if the entry does not return. */
+static void test_lapse_in_outage(void)
 {
-	struct fg_fleet *f = make();
-	struct fg_fleet_ep *ep = put(f, 1000, "e1", false);
+	struct fg_fleet *f = fleet_new();
+	struct fg_fleet_ep *ep = put_ep(f, 1000, "e1", false);
 
-	put(f, 1000, "e2", false);
+	put_ep(f, 1000, "e2", false);
 	fg_fleet_registry_down(f, 2000);
 	fg_fleet_registry_up(f, 8000);
 	fg_fleet_remove(f, 8100, "e1");
 	fg_fleet_remove(f, 8100, "e2");
 	g_assert_true(fg_ep_is_usable(ep, 8200));
-	put(f, 9000, "e2", false);
+	put_ep(f, 9000, "e2", false);
 	fg_fleet_tick(f, 8000 + FG_FLEET_LAPSE_GRACE_MS);
 	g_assert_null(fg_fleet_find(f, "e1"));
 	g_assert_nonnull(fg_fleet_find(f, "e2"));
-	/* Later removals are taken at their word. */
+	/* After the grace period a removal takes effect at once. */
 	fg_fleet_remove(f, 11000, "e2");
 	g_assert_false(fg_ep_is_usable(fg_fleet_find(f, "e2"), 11000));
 	fg_fleet_free(f);
 }
 
-static void test_lapse_of_draining(void)
+static void test_draining_does_not_lapse(void)
 {
-	struct fg_fleet *f = make();
-	struct fg_fleet_ep *ep = put(f, 1000, "e1", true);
+	struct fg_fleet *f = fleet_new();
+	struct fg_fleet_ep *ep = put_ep(f, 1000, "e1", true);
 
 	fg_fleet_registry_down(f, 2000);
 	fg_fleet_registry_up(f, 8000);
@@ -93,25 +94,25 @@
 	fg_fleet_free(f);
 }
 
-static void test_full_read(void)
+static void test_full_read_removes_missing(void)
 {
-	struct fg_fleet *f = make();
+	struct fg_fleet *f = fleet_new();
 
-	put(f, 1000, "e1", false);
-	put(f, 1000, "e2", false);
+	put_ep(f, 1000, "e1", false);
+	put_ep(f, 1000, "e2", false);
 	fg_fleet_read_begin(f);
-	put(f, 2000, "e2", false);
+	put_ep(f, 2000, "e2", false);
 	fg_fleet_read_end(f, 2000);
 	g_assert_false(fg_ep_is_usable(fg_fleet_find(f, "e1"), 2000));
 	g_assert_true(fg_ep_is_usable(fg_fleet_find(f, "e2"), 2000));
 	fg_fleet_free(f);
 }
 
-/* The same id may start again and then knows nothing of before. */
-static void test_restart(void)
+/* An endpoint that restarts under the same id has lost its adapters. */
+static void test_restart_resets_state(void)
 {
-	struct fg_fleet *f = make();
-	struct fg_fleet_ep *ep = put(f, 1000, "e1", false);
+	struct fg_fleet *f = fleet_new();
+	struct fg_fleet_ep *ep = put_ep(f, 1000, "e1", false);
 	struct fg_fleet_held held = { .key = 5, .version = 1 };
 	struct fg_ep_facts facts;
 
@@ -125,10 +126,10 @@
 	fg_fleet_free(f);
 }
 
-static void test_adapter_table(void)
+static void test_adapter_table_eviction(void)
 {
-	struct fg_fleet *f = make();
-	struct fg_fleet_ep *ep = put(f, 1000, "e1", false);
+	struct fg_fleet *f = fleet_new();
+	struct fg_fleet_ep *ep = put_ep(f, 1000, "e1", false);
 	struct fg_ep_adapter *a = fg_ep_adapter_find_or_add(ep, 1000, 1);
 
 	a->running = 1;
@@ -136,17 +137,17 @@
 		g_assert_nonnull(
 			fg_ep_adapter_find_or_add(ep, 1000 + (fg_ms)key, key));
 	g_assert_cmpuint(ep->n_adapters, ==, FG_EP_ADAPTERS_MAX);
-	/* One in use never makes way. */
+	/* A record in use is never evicted. */
 	g_assert_nonnull(fg_ep_adapter_find(ep, 1));
 	g_assert_nonnull(fg_ep_adapter_find(ep, 199));
 	g_assert_null(fg_ep_adapter_find(ep, 2));
 	fg_fleet_free(f);
 }
 
-static void test_health(void)
+static void test_health_ejection(void)
 {
-	struct fg_fleet *f = make();
-	struct fg_fleet_ep *ep = put(f, 1000, "e1", false);
+	struct fg_fleet *f = fleet_new();
+	struct fg_fleet_ep *ep = put_ep(f, 1000, "e1", false);
 
 	fg_health_record_failure(ep, 1000);
 	g_assert_false(fg_health_is_ejected(ep, 1000));
@@ -164,7 +165,7 @@
 	fg_fleet_free(f);
 }
 
-static void test_uses(void)
+static void test_uses_totals(void)
 {
 	struct fg_uses u;
 	struct fg_use use = { .instance = 1,
@@ -184,7 +185,7 @@
 	fg_uses_put(&u, &use);
 	g_assert_cmpuint(fg_uses_running(&u), ==, 3);
 	g_assert_cmpuint(fg_uses_pending_tokens(&u), ==, 300);
-	/* The word of an instance that is gone is forgotten. */
+	/* A report that is not repeated expires. */
 	fg_uses_expire(&u, 1000 + FG_USES_TTL_MS + 1);
 	g_assert_cmpuint(fg_uses_running(&u), ==, 1);
 	use.running = 0;
@@ -193,7 +194,7 @@
 	fg_uses_clear(&u);
 }
 
-static void test_losses(void)
+static void test_losses_ring(void)
 {
 	struct fg_losses l = { 0 };
 	struct fg_loss out[FG_LOSS_MAX];
@@ -224,12 +225,12 @@
 #define MODEL_KEY 1
 #define ADAPTER_KEY 2
 
-static const struct fg_svc engine = { .engine = true, .slots = 64 };
-static const struct fg_svc plain = { .engine = false };
+static const struct fg_svc engine_service = { .engine = true, .slots = 64 };
+static const struct fg_svc plain_service = { .engine = false };
 
 static struct fg_fleet_ep *put_engine(struct fg_fleet *f, const char *id)
 {
-	struct fg_fleet_ep *ep = put(f, 1000, id, false);
+	struct fg_fleet_ep *ep = put_ep(f, 1000, id, false);
 	struct fg_fleet_held held = { .key = MODEL_KEY, .version = 1 };
 
 	ep->owner = 1;
@@ -238,7 +239,7 @@
 	return ep;
 }
 
-static void hold(struct fg_fleet_ep *ep)
+static void set_adapter_resident(struct fg_fleet_ep *ep)
 {
 	struct fg_fleet_held held[] = { { MODEL_KEY, 1 }, { ADAPTER_KEY, 1 } };
 
@@ -250,7 +251,7 @@
 	struct fg_rand rand;
 	struct fg_balance_query ask = {
 		.service = "s",
-		.svc = &engine,
+		.svc = &engine_service,
 		.region = "r1",
 		.adapter = ADAPTER_KEY,
 		.model = MODEL_KEY,
@@ -262,31 +263,31 @@
 	return fg_balance_pick(&conf, f, 2000, &ask, &rand);
 }
 
-static void test_pick_resident(void)
+static void test_pick_prefers_resident(void)
 {
-	struct fg_fleet *f = make();
+	struct fg_fleet *f = fleet_new();
 	struct fg_fleet_ep *a = put_engine(f, "e1");
 	struct fg_fleet_ep *b = put_engine(f, "e2");
-	struct fg_fleet_ep *far = put_engine(f, "w1");
+	struct fg_fleet_ep *remote_ep = put_engine(f, "w1");
 
-	hold(b);
+	set_adapter_resident(b);
 	g_assert_true(pick(f, 0).ep == b);
 	g_assert_true(pick(f, 0).resident);
-	/* A short queue is waited out, a long one is worth a load. */
+	/* A short queue costs less than a load, a long one costs more. */
 	b->peers_pending_tokens = 25 * 200;
 	g_assert_true(pick(f, 0).ep == b);
 	b->peers_pending_tokens = 25 * 2000;
 	g_assert_true(pick(f, 0).ep != b);
-	/* Resident in another region goes before a load in one's own. */
-	hold(far);
-	g_assert_true(pick(f, 0).ep == far);
+	/* A resident adapter in another region beats a local load. */
+	set_adapter_resident(remote_ep);
+	g_assert_true(pick(f, 0).ep == remote_ep);
 	a->owner = 0;
 	fg_fleet_free(f);
 }
 
-static void test_pick_home(void)
+static void test_pick_home_is_stable(void)
 {
-	struct fg_fleet *f = make();
+	struct fg_fleet *f = fleet_new();
 	struct fg_fleet_ep *first;
 	char id[8];
 
@@ -297,7 +298,7 @@
 	first = pick(f, 0).ep;
 	for (int i = 0; i < 20; i++)
 		g_assert_true(pick(f, 0).ep == first);
-	/* Without an owner, or without the base model, nothing is loaded. */
+	/* An endpoint without an owner or a base model cannot load adapters. */
 	first->owner = 0;
 	g_assert_true(pick(f, 0).ep != first);
 	first->owner = 1;
@@ -306,9 +307,9 @@
 	fg_fleet_free(f);
 }
 
-static void test_popular_spreads(void)
+static void test_popular_adapter_spreads(void)
 {
-	struct fg_fleet *f = make();
+	struct fg_fleet *f = fleet_new();
 	struct fg_fleet_ep *first;
 	char id[8];
 
@@ -317,49 +318,53 @@
 		put_engine(f, id);
 	}
 	first = pick(f, 0).ep;
-	hold(first);
+	set_adapter_resident(first);
 	first->pending_tokens = 25 * 400;
 	g_assert_true(pick(f, 0).ep == first);
-	/* One that takes a whole endpoint's time gets a second home sooner. */
+	/* An adapter that saturates an endpoint gets a second home sooner. */
 	first->pending_tokens = 25 * 650;
 	g_assert_true(pick(f, 25000).ep != first);
 	fg_fleet_free(f);
 }
 
-static void test_pick_plain(void)
+static void test_pick_plain_service(void)
 {
-	struct fg_fleet *f = make();
-	struct fg_fleet_ep *near = put(f, 1000, "e1", false);
-	struct fg_fleet_ep *far = put(f, 1000, "w1", false);
+	struct fg_fleet *f = fleet_new();
+	struct fg_fleet_ep *local_ep = put_ep(f, 1000, "e1", false);
+	struct fg_fleet_ep *remote_ep = put_ep(f, 1000, "w1", false);
 	struct fg_rand rand;
 	struct fg_balance_query ask = { .service = "s",
-					.svc = &plain,
+					.svc = &plain_service,
 					.region = "r1" };
 
 	fg_rand_seed(&rand, 1);
-	g_assert_true(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep == near);
-	near->running = 30;
-	g_assert_true(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep == far);
-	near->running = 0;
-	ask.avoid[0] = near;
+	g_assert_true(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep ==
+		      local_ep);
+	local_ep->running = 30;
+	g_assert_true(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep ==
+		      remote_ep);
+	local_ep->running = 0;
+	ask.avoid[0] = local_ep;
 	ask.n_avoid = 1;
-	g_assert_true(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep == far);
+	g_assert_true(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep ==
+		      remote_ep);
 	ask.n_avoid = 0;
-	fg_health_record_failure(near, 2000);
-	fg_health_record_failure(near, 2000);
-	g_assert_true(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep == far);
-	put(f, 2000, "e1", true);
-	put(f, 2000, "w1", true);
+	fg_health_record_failure(local_ep, 2000);
+	fg_health_record_failure(local_ep, 2000);
+	g_assert_true(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep ==
+		      remote_ep);
+	put_ep(f, 2000, "e1", true);
+	put_ep(f, 2000, "w1", true);
 	g_assert_null(fg_balance_pick(&conf, f, 2000, &ask, &rand).ep);
 	fg_fleet_free(f);
 }
 
-static void test_top(void)
+static void test_rank_order(void)
 {
-	struct fg_fleet *f = make();
+	struct fg_fleet *f = fleet_new();
 	struct fg_balance_query ask = {
 		.service = "s",
-		.svc = &engine,
+		.svc = &engine_service,
 		.region = "r1",
 		.adapter = ADAPTER_KEY,
 	};
@@ -372,13 +377,13 @@
 
 		g_snprintf(id, sizeof(id), "e%d", i);
 		ep = put_engine(f, id);
-		hold(ep);
+		set_adapter_resident(ep);
 		ep->pending_tokens = 25 * 100 * (uint32_t)((i * 5) % 6);
 	}
 	fg_rand_seed(&rand, 1);
 	g_assert_cmpuint(fg_balance_rank(&conf, f, 2000, &ask, &rand, out, 3),
 			 ==, 3);
-	/* Waits of 0, 100 and 200 ms. */
+	/* Queueing delays of 0, 100 and 200 ms. */
 	g_assert_cmpstr(out[0].ep->facts.id, ==, "e0");
 	g_assert_cmpstr(out[1].ep->facts.id, ==, "e5");
 	g_assert_cmpstr(out[2].ep->facts.id, ==, "e4");
@@ -394,19 +399,20 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/fleet/leaving", test_leaving);
-	g_test_add_func("/fleet/lapse", test_lapse);
-	g_test_add_func("/fleet/lapse_of_draining", test_lapse_of_draining);
-	g_test_add_func("/fleet/full_read", test_full_read);
-	g_test_add_func("/fleet/restart", test_restart);
-	g_test_add_func("/fleet/adapter_table", test_adapter_table);
-	g_test_add_func("/fleet/health", test_health);
-	g_test_add_func("/fleet/uses", test_uses);
-	g_test_add_func("/fleet/losses", test_losses);
-	g_test_add_func("/balance/resident", test_pick_resident);
-	g_test_add_func("/balance/home", test_pick_home);
-	g_test_add_func("/balance/popular", test_popular_spreads);
-	g_test_add_func("/balance/plain", test_pick_plain);
-	g_test_add_func("/balance/top", test_top);
+	g_test_add_func("/fleet/leaving", test_leaving_is_not_usable);
+	g_test_add_func("/fleet/lapse", test_lapse_in_outage);
+	g_test_add_func("/fleet/lapse_of_draining",
+			test_draining_does_not_lapse);
+	g_test_add_func("/fleet/full_read", test_full_read_removes_missing);
+	g_test_add_func("/fleet/restart", test_restart_resets_state);
+	g_test_add_func("/fleet/adapter_table", test_adapter_table_eviction);
+	g_test_add_func("/fleet/health", test_health_ejection);
+	g_test_add_func("/fleet/uses", test_uses_totals);
+	g_test_add_func("/fleet/losses", test_losses_ring);
+	g_test_add_func("/balance/resident", test_pick_prefers_resident);
+	g_test_add_func("/balance/home", test_pick_home_is_stable);
+	g_test_add_func("/balance/popular", test_popular_adapter_spreads);
+	g_test_add_func("/balance/plain", test_pick_plain_service);
+	g_test_add_func("/balance/top", test_rank_order);
 	return g_test_run();
 }
