--- a/lib/admit/fg_estimate.c
+++ b/lib/admit/fg_estimate.c
@@ -1,10 +1,10 @@
 /*
- * Service times per class, as decayed histograms with four buckets to each
- * doubling.
+ * Estimates of service times per class, from decayed histograms with four
+ * buckets per doubling.
  *
- * Requests refused for lack of time bring no samples, so an estimate that
- * once was too high would keep itself up. Therefore a class without samples
- * for STALE_MS fits again; the next sample decides anew.
+ * Refused requests give no samples, so an estimate that is too high would never
+ * be corrected. A class without samples for STALE_MS therefore fits again until
+ * its next sample.
  */
 #include "admit/fg_admit.h"
 
@@ -16,26 +16,26 @@
 #define HALF_LIFE_MS 30000
 #define DECAY_STEP_MS 1000
 #define STALE_MS 10000
-#define WEIGHT_MIN 0.01 /* less than this counts as no sample */
+#define WEIGHT_MIN 0.01 /* a smaller total counts as no samples */
 
-/* The percentile that must fit into the budget. At the median a request that
- * is let in makes its deadline more often than not; a higher one would refuse
- * requests of which most could be finished. */
+/* Percentile of the service time that must fit into the budget. With the
+ * median, an admitted request meets its deadline more often than not. A higher
+ * percentile would refuse requests most of which could finish. */
 #define FIT_PERCENTILE 50
 
-/* Retry hint when nothing waits and the service time alone is too long. */
+/* Retry hint when the queue is empty and the service time alone is too long. */
 #define RETRY_MIN_MS 1000
 
 struct histogram {
 	double weight[BUCKETS];
 	double total;
-	fg_ms last_sample;
+	fg_ms last_sample_at;
 };
 
 struct fg_estimate {
 	struct histogram hist[FG_CLASS_COUNT];
 	fg_ms now;
-	fg_ms decayed;
+	fg_ms decayed_at;
 };
 
 struct fg_estimate *fg_estimate_new(void)
@@ -48,7 +48,7 @@
 	g_free(e);
 }
 
-static uint32_t bucket_of(uint32_t service_ms)
+static uint32_t bucket_index(uint32_t service_ms)
 {
 	double doublings = log2((double)service_ms + 1);
 	uint32_t bucket = (uint32_t)(doublings * BUCKETS_PER_DOUBLING);
@@ -64,7 +64,7 @@
 	return (uint32_t)ceil(top);
 }
 
-static void decay(struct histogram *h, double factor)
+static void decay_histogram(struct histogram *h, double factor)
 {
 	h->total = 0;
 	for (int i = 0; i < BUCKETS; i++) {
@@ -75,14 +75,15 @@
 
 void fg_estimate_tick(struct fg_estimate *e, fg_ms now)
 {
-	fg_ms elapsed = now - e->decayed;
+	fg_ms elapsed = now - e->decayed_at;
 
 	e->now = MAX(e->now, now);
 	if (elapsed < DECAY_STEP_MS)
 		return;
 	for (int c = 0; c < FG_CLASS_COUNT; c++)
-		decay(&e->hist[c], exp2(-(double)elapsed / HALF_LIFE_MS));
-	e->decayed = now;
+		decay_histogram(&e->hist[c],
+				exp2(-(double)elapsed / HALF_LIFE_MS));
+	e->decayed_at = now;
 }
 
 void fg_estimate_add(struct fg_estimate *e, fg_ms now, enum fg_class cls,
@@ -91,17 +92,17 @@
 	struct histogram *h = &e->hist[cls];
 
 	fg_estimate_tick(e, now);
-	h->weight[bucket_of(service_ms)] += 1;
+	h->weight[bucket_index(service_ms)] += 1;
 	h->total += 1;
-	h->last_sample = now;
+	h->last_sample_at = now;
 }
 
 uint32_t fg_estimate_percentile_ms(const struct fg_estimate *e,
 				   enum fg_class cls, uint32_t percentile)
 {
 	const struct histogram *h = &e->hist[cls];
-	double wanted = h->total * MIN(percentile, 100) / 100;
-	double sum = 0;
+	double target_weight = h->total * MIN(percentile, 100) / 100;
+	double weight_sum = 0;
 	uint32_t top_ms = 0;
 
 	if (h->total < WEIGHT_MIN)
@@ -109,9 +110,9 @@
 	for (uint32_t i = 0; i < BUCKETS; i++) {
 		if (h->weight[i] <= 0)
 			continue;
-		sum += h->weight[i];
+		weight_sum += h->weight[i];
 		top_ms = bucket_top_ms(i);
-		if (sum >= wanted)
+		if (weight_sum >= target_weight)
 			break;
 	}
 	return top_ms;
@@ -122,12 +123,12 @@
 		      uint32_t *retry_after_ms)
 {
 	const struct histogram *h = &e->hist[cls];
-	bool known =
-		h->total >= WEIGHT_MIN && e->now - h->last_sample < STALE_MS;
+	bool is_known =
+		h->total >= WEIGHT_MIN && e->now - h->last_sample_at < STALE_MS;
 	uint64_t need_ms = wait_ms;
 
 	*retry_after_ms = 0;
-	if (!known)
+	if (!is_known)
 		return true;
 	need_ms += fg_estimate_percentile_ms(e, cls, FIT_PERCENTILE);
 	if (need_ms <= budget_ms)
--- a/lib/admit/fg_retry.c
+++ b/lib/admit/fg_retry.c
@@ -1,7 +1,7 @@
 /*
  * Retry budgets per class, over a sliding window.
  *
- * Retries are bounded by a share of the first attempts in the window, so that
+ * Retries are limited to a share of the first attempts in the window, so that
  * an overloaded or failing system gets at most that share of extra load.
  */
 #include "admit/fg_admit.h"
@@ -10,14 +10,14 @@
 
 #include "base/fg_rand.h"
 
-#define WINDOW_SLOTS 10
-#define SLOT_MS 1000
+#define WINDOW_BUCKETS 10
+#define BUCKET_MS 1000
 #define BACKOFF_MAX_MS 10000
 
 struct window {
-	uint32_t first[WINDOW_SLOTS];
-	uint32_t again[WINDOW_SLOTS];
-	int64_t slot; /* number of the newest slot */
+	uint32_t first_attempts[WINDOW_BUCKETS];
+	uint32_t retries[WINDOW_BUCKETS];
+	int64_t bucket; /* number of the newest bucket, counted from time 0 */
 };
 
 struct fg_retry {
@@ -45,27 +45,28 @@
 	r->conf.percent = percent;
 }
 
-/* Clears the slots between the newest one and that of now; returns now's. */
-static uint32_t advance(struct window *w, fg_ms now)
+/* Clears the buckets between the newest one and the one of `now`. Returns the
+ * index of the latter. */
+static uint32_t advance_window(struct window *w, fg_ms now)
 {
-	int64_t slot = MAX(now / SLOT_MS, w->slot);
-
-	if (slot - w->slot > WINDOW_SLOTS)
-		w->slot = slot - WINDOW_SLOTS;
-	while (w->slot < slot) {
-		w->slot++;
-		w->first[w->slot % WINDOW_SLOTS] = 0;
-		w->again[w->slot % WINDOW_SLOTS] = 0;
+	int64_t bucket = MAX(now / BUCKET_MS, w->bucket);
+
+	if (bucket - w->bucket > WINDOW_BUCKETS)
+		w->bucket = bucket - WINDOW_BUCKETS;
+	while (w->bucket < bucket) {
+		w->bucket++;
+		w->first_attempts[w->bucket % WINDOW_BUCKETS] = 0;
+		w->retries[w->bucket % WINDOW_BUCKETS] = 0;
 	}
-	return slot % WINDOW_SLOTS;
+	return bucket % WINDOW_BUCKETS;
 }
 
-static uint64_t sum(const uint32_t *slots)
+static uint64_t sum_buckets(const uint32_t *buckets)
 {
 	uint64_t total = 0;
 
-	for (int i = 0; i < WINDOW_SLOTS; i++)
-		total += slots[i];
+	for (int i = 0; i < WINDOW_BUCKETS; i++)
+		total += buckets[i];
 	return total;
 }
 
@@ -73,11 +74,11 @@
 {
 	struct window *w = &r->window[cls];
 
-	w->first[advance(w, now)]++;
+	w->first_attempts[advance_window(w, now)]++;
 }
 
-/* Exponential, uniform within half of it up and down. */
-static uint32_t backoff(struct fg_retry *r, uint32_t attempts)
+/* Exponential backoff with a jitter of up to half of it in both directions. */
+static uint32_t pick_backoff_ms(struct fg_retry *r, uint32_t attempts)
 {
 	uint64_t base_ms = r->conf.backoff_ms;
 
@@ -93,9 +94,9 @@
 	uint64_t allowed = r->conf.min_per_10s;
 	uint64_t used;
 
-	advance(w, now);
-	allowed += sum(w->first) * r->conf.percent / 100;
-	used = sum(w->again);
+	advance_window(w, now);
+	allowed += sum_buckets(w->first_attempts) * r->conf.percent / 100;
+	used = sum_buckets(w->retries);
 	return used >= allowed ? 0 : (uint32_t)MIN(allowed - used, UINT32_MAX);
 }
 
@@ -104,7 +105,7 @@
 		   uint32_t *backoff_ms)
 {
 	struct window *w = &r->window[cls];
-	uint32_t slot = advance(w, now);
+	uint32_t bucket = advance_window(w, now);
 
 	*backoff_ms = 0;
 	if (attempts >= r->conf.attempts_max)
@@ -113,9 +114,9 @@
 		return false;
 	if (fg_retry_budget_left(r, now, cls) == 0)
 		return false;
-	*backoff_ms = backoff(r, attempts);
+	*backoff_ms = pick_backoff_ms(r, attempts);
 	if (*backoff_ms >= left_ms)
 		return false;
-	w->again[slot]++;
+	w->retries[bucket]++;
 	return true;
 }
--- a/lib/admit/fg_suspect.c
+++ b/lib/admit/fg_suspect.c
@@ -1,16 +1,16 @@
 /*
  * Suspects: requests that crash endpoints.
  *
- * What is kept are sets, keyed by the id of the attempt: the crashes of a
- * fingerprint, and its attempts that started and that ended. Verdicts are
- * computed from the sets, so the order of the events does not matter and a
- * repeated event changes nothing. Sets are small rings; the oldest goes.
+ * Each fingerprint has two sets, keyed by the id of the attempt: its crashes,
+ * and its attempts with whether they started and ended. Verdicts are computed
+ * from the sets, so the order of events does not matter and a repeated event
+ * has no effect. The sets are small rings that overwrite their oldest member.
  *
- * Crashes of one endpoint within DEATH_SPAN_MS are one death: all requests of
- * its batch are reported, and a batch must not make the endpoint look sick. A
- * death is unexplained if none of its fingerprints is in any other death. An
- * endpoint with faulty_ep_deaths unexplained deaths around a crash was sick
- * then, and the crash is nobody's.
+ * Crashes on one endpoint within DEATH_SPAN_MS are one death: every request of
+ * the batch reports a crash, and a batch must not make the endpoint look
+ * faulty. A death is unexplained if none of its fingerprints is in another
+ * death. An endpoint with faulty_ep_deaths unexplained deaths around a crash
+ * was faulty at that time, and the crash blames no request.
  */
 #include "admit/fg_admit.h"
 
@@ -19,17 +19,17 @@
 
 #include "base/fg_rand.h"
 
-#define CRASHES_MAX 8  /* kept of one fingerprint */
-#define ATTEMPTS_MAX 8 /* kept of one fingerprint */
+#define CRASHES_MAX 8  /* per fingerprint */
+#define ATTEMPTS_MAX 8 /* per fingerprint */
 #define DEATH_SPAN_MS 2000
-#define ASK_AGAIN_MS 500
+#define CHECK_AGAIN_MS 500
 
-/* A start whose end was never told stops counting after the longest deadline
- * that a request can have. */
+/* An attempt whose end was never reported stops counting as running after the
+ * longest deadline that a request can have. */
 #define RUNNING_MAX_MS 600000
 
-/* Deaths of one single endpoint that count like refuse_crashes different
- * ones, per crash needed: a site may have no second endpoint to crash. */
+/* A request is refused after refuse_crashes times this many deaths of a single
+ * endpoint, since a site may have no second endpoint. */
 #define SAME_EP_FACTOR 2
 
 struct crash {
@@ -55,9 +55,9 @@
 	struct attempt attempts[ATTEMPTS_MAX];
 	uint32_t next_crash;
 	uint32_t next_attempt;
-	fg_ms last;	  /* event of any kind */
-	fg_ms last_crash; /* 0: none */
-	fg_ms cleared_at; /* crashes up to then do not count */
+	fg_ms last_event_at;
+	fg_ms last_crash_at; /* INT64_MIN / 2: none */
+	fg_ms cleared_at;    /* earlier crashes do not count */
 };
 
 struct fg_suspects {
@@ -88,23 +88,23 @@
 	return fg_hash_mix(fg_av_key(av), body_hash);
 }
 
-/* ---- Deaths and sick endpoints ---- */
+/* ---- Deaths and faulty endpoints ---- */
 
-/* Attempts of one request follow one another, so they are in different deaths
- * even if the endpoint comes back at once. */
-static bool same_death(const struct crash *a, const struct crash *b)
+/* Attempts of one request run one after another, so they belong to different
+ * deaths even if the endpoint restarts at once. */
+static bool is_same_death(const struct crash *a, const struct crash *b)
 {
 	if (a->req != b->req && a->req >> 8 == b->req >> 8)
 		return false;
 	return a->ep == b->ep && llabs(a->at - b->at) <= DEATH_SPAN_MS;
 }
 
-/* Is crash i the first one kept of its death? */
-static bool begins_death(const struct entry *e, int i)
+/* Returns whether crash i is the first one kept of its death. */
+static bool is_first_of_death(const struct entry *e, int i)
 {
 	for (int j = 0; j < i; j++)
 		if (e->crashes[j].req != 0 &&
-		    same_death(&e->crashes[j], &e->crashes[i]))
+		    is_same_death(&e->crashes[j], &e->crashes[i]))
 			return false;
 	return e->crashes[i].req != 0;
 }
@@ -114,39 +114,41 @@
 	uint32_t n = 0;
 
 	for (int i = 0; i < CRASHES_MAX; i++)
-		n += begins_death(e, i);
+		n += is_first_of_death(e, i);
 	return n;
 }
 
-struct member {
+struct death_member {
 	fg_ms at;
-	bool elsewhere; /* its fingerprint is in another death too */
+	bool in_other_death; /* the fingerprint has another death too */
 };
 
-static int by_time(gconstpointer a, gconstpointer b)
+static int compare_times(gconstpointer a, gconstpointer b)
 {
-	const struct member *x = a;
-	const struct member *y = b;
+	const struct death_member *x = a;
+	const struct death_member *y = b;
 
 	return x->at < y->at ? -1 : x->at > y->at;
 }
 
-/* Everybody in a death of the endpoint within the window around a crash. */
-static GArray *members_near(const struct fg_suspects *s,
-			    const struct crash *around)
+/* Collects all crashes on the same endpoint within the window around a crash,
+ * sorted by time. */
+static GArray *collect_members(const struct fg_suspects *s,
+			       const struct crash *around)
 {
-	GArray *members = g_array_new(FALSE, FALSE, sizeof(struct member));
+	GArray *members =
+		g_array_new(FALSE, FALSE, sizeof(struct death_member));
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, s->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct entry *e = value;
-		bool elsewhere = count_deaths(e) > 1;
+		bool in_other_death = count_deaths(e) > 1;
 
 		for (int i = 0; i < CRASHES_MAX; i++) {
 			const struct crash *c = &e->crashes[i];
-			struct member m = { c->at, elsewhere };
+			struct death_member m = { c->at, in_other_death };
 
 			if (c->req == 0 || c->ep != around->ep ||
 			    llabs(c->at - around->at) >
@@ -155,36 +157,36 @@
 			g_array_append_val(members, m);
 		}
 	}
-	g_array_sort(members, by_time);
+	g_array_sort(members, compare_times);
 	return members;
 }
 
-static uint32_t count_unexplained(const GArray *members)
+static uint32_t count_unexplained_deaths(const GArray *members)
 {
 	uint32_t n = 0;
 	guint i = 0;
 
 	while (i < members->len) {
-		fg_ms begin = g_array_index(members, struct member, i).at;
+		fg_ms begin = g_array_index(members, struct death_member, i).at;
 		bool explained = false;
 
 		for (; i < members->len; i++) {
-			struct member m =
-				g_array_index(members, struct member, i);
+			struct death_member m =
+				g_array_index(members, struct death_member, i);
 
 			if (m.at - begin > DEATH_SPAN_MS)
 				break;
-			explained = explained || m.elsewhere;
+			explained = explained || m.in_other_death;
 		}
 		n += !explained;
 	}
 	return n;
 }
 
-static bool was_sick(const struct fg_suspects *s, const struct crash *c)
+static bool was_ep_faulty(const struct fg_suspects *s, const struct crash *c)
 {
-	GArray *members = members_near(s, c);
-	uint32_t unexplained = count_unexplained(members);
+	GArray *members = collect_members(s, c);
+	uint32_t unexplained = count_unexplained_deaths(members);
 
 	g_array_free(members, TRUE);
 	return unexplained >= s->conf.faulty_ep_deaths;
@@ -197,27 +199,28 @@
 	uint32_t endpoints;
 };
 
-static bool counts(const struct fg_suspects *s, const struct entry *e, int i)
+static bool is_blamed(const struct fg_suspects *s, const struct entry *e, int i)
 {
 	const struct crash *c = &e->crashes[i];
 
-	return c->req != 0 && c->at > e->cleared_at && begins_death(e, i) &&
-	       !was_sick(s, c);
+	return c->req != 0 && c->at > e->cleared_at &&
+	       is_first_of_death(e, i) && !was_ep_faulty(s, c);
 }
 
-static struct blame blame_of(const struct fg_suspects *s, const struct entry *e)
+static struct blame compute_blame(const struct fg_suspects *s,
+				  const struct entry *e)
 {
 	struct blame blame = { 0 };
-	bool counted[CRASHES_MAX] = { false };
+	bool blamed[CRASHES_MAX] = { false };
 
 	for (int i = 0; i < CRASHES_MAX; i++) {
 		bool new_ep = true;
 
-		counted[i] = counts(s, e, i);
-		if (!counted[i])
+		blamed[i] = is_blamed(s, e, i);
+		if (!blamed[i])
 			continue;
 		for (int j = 0; j < i; j++)
-			if (counted[j] && e->crashes[j].ep == e->crashes[i].ep)
+			if (blamed[j] && e->crashes[j].ep == e->crashes[i].ep)
 				new_ep = false;
 		blame.deaths++;
 		blame.endpoints += new_ep;
@@ -233,10 +236,10 @@
 	       blame->deaths >= needed * SAME_EP_FACTOR;
 }
 
-static bool is_forgotten(const struct fg_suspects *s, const struct entry *e,
-			 fg_ms now)
+static bool is_expired(const struct fg_suspects *s, const struct entry *e,
+		       fg_ms now)
 {
-	return now - MAX(e->last_crash, e->cleared_at) >=
+	return now - MAX(e->last_crash_at, e->cleared_at) >=
 	       (fg_ms)s->conf.retention_ms;
 }
 
@@ -245,7 +248,7 @@
 	return a->started && !a->ended && now - a->at < RUNNING_MAX_MS;
 }
 
-static bool entry_running(const struct entry *e, fg_ms now)
+static bool has_running_attempt(const struct entry *e, fg_ms now)
 {
 	for (int i = 0; i < ATTEMPTS_MAX; i++)
 		if (is_running(&e->attempts[i], now))
@@ -253,8 +256,8 @@
 	return false;
 }
 
-/* It ran as a suspect, and the endpoint lives. */
-static bool ran_well(const struct entry *e)
+/* Returns whether an attempt ended and the endpoint survived. */
+static bool has_clean_run(const struct entry *e)
 {
 	for (int i = 0; i < ATTEMPTS_MAX; i++) {
 		const struct attempt *a = &e->attempts[i];
@@ -273,15 +276,15 @@
 	struct blame blame;
 
 	*retry_after_ms = 0;
-	if (e == NULL || is_forgotten(s, e, now))
+	if (e == NULL || is_expired(s, e, now))
 		return FG_SUSPECT_ALLOW;
-	blame = blame_of(s, e);
+	blame = compute_blame(s, e);
 	if (is_refused(s, &blame))
 		return FG_SUSPECT_REFUSE;
-	if (blame.deaths == 0 || ran_well(e))
+	if (blame.deaths == 0 || has_clean_run(e))
 		return FG_SUSPECT_ALLOW;
-	if (entry_running(e, now)) {
-		*retry_after_ms = ASK_AGAIN_MS;
+	if (has_running_attempt(e, now)) {
+		*retry_after_ms = CHECK_AGAIN_MS;
 		return FG_SUSPECT_WAIT;
 	}
 	return FG_SUSPECT_RUN_ALONE;
@@ -307,16 +310,18 @@
 
 /* ---- Events ---- */
 
-/* The one to forget first: not refused before refused, then the oldest. */
-static bool forget_before(const struct entry *a, const struct entry *b)
+/* Eviction order: entries with a single death, which are not refused yet, then
+ * the least recently updated. */
+static bool is_evicted_before(const struct entry *a, const struct entry *b)
 {
-	bool many_a = count_deaths(a) > 1;
-	bool many_b = count_deaths(b) > 1;
+	bool recurred_a = count_deaths(a) > 1;
+	bool recurred_b = count_deaths(b) > 1;
 
-	return many_a != many_b ? many_b : a->last < b->last;
+	return recurred_a != recurred_b ? recurred_b
+					: a->last_event_at < b->last_event_at;
 }
 
-static void make_room(struct fg_suspects *s, fg_ms now)
+static void evict_entries(struct fg_suspects *s, fg_ms now)
 {
 	const struct entry *victim = NULL;
 	GHashTableIter iter;
@@ -326,9 +331,9 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct entry *e = value;
 
-		if (now - e->last >= (fg_ms)s->conf.retention_ms)
+		if (now - e->last_event_at >= (fg_ms)s->conf.retention_ms)
 			g_hash_table_iter_remove(&iter);
-		else if (victim == NULL || forget_before(e, victim))
+		else if (victim == NULL || is_evicted_before(e, victim))
 			victim = e;
 	}
 	if (victim != NULL &&
@@ -336,25 +341,25 @@
 		g_hash_table_remove(s->entries, &victim->fingerprint);
 }
 
-static struct entry *entry_for(struct fg_suspects *s, fg_ms now,
-			       const fg_suspect *ev)
+static struct entry *find_or_add_entry(struct fg_suspects *s, fg_ms now,
+				       const fg_suspect *ev)
 {
 	struct entry *e = g_hash_table_lookup(s->entries, &ev->fingerprint);
 
 	if (e != NULL)
 		return e;
-	make_room(s, now);
+	evict_entries(s, now);
 	e = g_new0(struct entry, 1);
 	e->fingerprint = ev->fingerprint;
 	e->av = ev->av;
 	e->cleared_at = INT64_MIN / 2;
-	e->last_crash = INT64_MIN / 2;
+	e->last_crash_at = INT64_MIN / 2;
 	g_hash_table_insert(s->entries, &e->fingerprint, e);
 	return e;
 }
 
-static struct attempt *attempt_for(struct entry *e, fg_ms now, uint64_t by,
-				   const fg_suspect *ev)
+static struct attempt *find_or_add_attempt(struct entry *e, fg_ms now,
+					   uint64_t by, const fg_suspect *ev)
 {
 	struct attempt *a;
 
@@ -371,7 +376,7 @@
 static bool add_crash(struct entry *e, fg_ms now, uint64_t by,
 		      const fg_suspect *ev)
 {
-	struct attempt *a = attempt_for(e, now, by, ev);
+	struct attempt *a = find_or_add_attempt(e, now, by, ev);
 	struct crash *c = &e->crashes[e->next_crash];
 
 	if (a->crashed)
@@ -380,26 +385,27 @@
 	a->crashed = true;
 	e->next_crash = (e->next_crash + 1) % CRASHES_MAX;
 	*c = (struct crash){ .req = ev->req, .ep = ev->ep, .at = now };
-	e->last_crash = now;
+	e->last_crash_at = now;
 	return true;
 }
 
 static bool add_attempt(struct entry *e, fg_ms now, uint64_t by,
 			const fg_suspect *ev)
 {
-	struct attempt *a = attempt_for(e, now, by, ev);
-	bool *what = ev->event == FG_SUSPECT_STARTED ? &a->started : &a->ended;
-	bool is_new = !*what;
+	struct attempt *a = find_or_add_attempt(e, now, by, ev);
+	bool *flag = ev->event == FG_SUSPECT_STARTED ? &a->started : &a->ended;
+	bool is_new = !*flag;
 
-	*what = true;
+	*flag = true;
 	return is_new;
 }
 
-/* Not a crash, but not a sign either that the endpoint bore it. */
-static bool add_unrun(struct entry *e, fg_ms now, uint64_t by,
-		      const fg_suspect *ev)
+/* The attempt is no crash, and no evidence that the endpoint survives the
+ * request either: `crashed` keeps it from counting as a clean run. */
+static bool add_not_run(struct entry *e, fg_ms now, uint64_t by,
+			const fg_suspect *ev)
 {
-	struct attempt *a = attempt_for(e, now, by, ev);
+	struct attempt *a = find_or_add_attempt(e, now, by, ev);
 
 	if (a->ended)
 		return false;
@@ -411,10 +417,10 @@
 static bool add_cleared(struct entry *e, fg_ms now, uint64_t by,
 			const fg_suspect *ev)
 {
-	struct attempt *a = attempt_for(e, now, by, ev);
+	struct attempt *a = find_or_add_attempt(e, now, by, ev);
 
-	/* The id of the clearing takes a place among the attempts, so that a
-	 * repeat of it does not clear later crashes. */
+	/* The event is stored as an attempt, so that a repeat of it does not
+	 * clear later crashes. */
 	if (a->started)
 		return false;
 	a->started = true;
@@ -432,14 +438,14 @@
 	if (ev->req == 0 || ev->event < FG_SUSPECT_CRASH ||
 	    ev->event > FG_SUSPECT_NOT_RUN)
 		return false;
-	e = entry_for(s, now, ev);
-	e->last = now;
+	e = find_or_add_entry(s, now, ev);
+	e->last_event_at = now;
 	if (ev->event == FG_SUSPECT_CRASH)
 		return add_crash(e, now, by, ev);
 	if (ev->event == FG_SUSPECT_CLEARED)
 		return add_cleared(e, now, by, ev);
 	if (ev->event == FG_SUSPECT_NOT_RUN)
-		return add_unrun(e, now, by, ev);
+		return add_not_run(e, now, by, ev);
 	return add_attempt(e, now, by, ev);
 }
 
@@ -452,7 +458,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct entry *e = value;
 
-		/* Neither running nor ran well: how it ended is not known. */
+		/* The result is unknown: neither running nor a clean run. */
 		for (int i = 0; i < ATTEMPTS_MAX; i++)
 			if (e->attempts[i].by == by && !e->attempts[i].ended)
 				e->attempts[i].started = false;
@@ -461,7 +467,7 @@
 
 /* ---- For operators ---- */
 
-static int newest_first(gconstpointer a, gconstpointer b)
+static int compare_newest_first(gconstpointer a, gconstpointer b)
 {
 	const struct fg_suspect_view *x = a;
 	const struct fg_suspect_view *y = b;
@@ -482,20 +488,20 @@
 	g_hash_table_iter_init(&iter, s->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct entry *e = value;
-		struct blame blame = blame_of(s, e);
+		struct blame blame = compute_blame(s, e);
 		struct fg_suspect_view v = {
 			.fingerprint = e->fingerprint,
 			.av = e->av,
 			.crashes = blame.deaths,
 			.refused = is_refused(s, &blame),
-			.running = entry_running(e, now),
-			.last_crash_at = e->last_crash,
+			.running = has_running_attempt(e, now),
+			.last_crash_at = e->last_crash_at,
 		};
 
-		if (blame.deaths > 0 && !is_forgotten(s, e, now))
+		if (blame.deaths > 0 && !is_expired(s, e, now))
 			g_array_append_val(all, v);
 	}
-	g_array_sort(all, newest_first);
+	g_array_sort(all, compare_newest_first);
 	n = all->len;
 	for (size_t i = 0; i < n && i < max; i++)
 		out[i] = g_array_index(all, struct fg_suspect_view, i);
@@ -507,8 +513,8 @@
 {
 	struct entry *e = g_hash_table_lookup(s->entries, &fingerprint);
 
-	if (e == NULL || e->last_crash <= e->cleared_at)
+	if (e == NULL || e->last_crash_at <= e->cleared_at)
 		return false;
-	e->cleared_at = e->last_crash;
+	e->cleared_at = e->last_crash_at;
 	return true;
 }
--- a/tests/unit/test_admit.c
+++ b/tests/unit/test_admit.c
@@ -5,7 +5,7 @@
 #include "base/fg_rand.h"
 
 #define SEED 20240602
-#define ORDERS 2000
+#define SHUFFLES 2000
 
 /* ---- Limits ---- */
 
@@ -25,7 +25,7 @@
 	g_assert_true(fg_limits_take(l, 9999 + retry_ms, "a", 5, &retry_ms));
 	g_assert_true(fg_limits_take(l, 9999, "b", 5, &retry_ms));
 	g_assert_true(fg_limits_take(l, 9999, "a", 0, &retry_ms));
-	/* Idle for long: the burst and no more. */
+	/* An idle bucket holds one burst, not more. */
 	g_assert_true(fg_limits_take(l, 90000, "b", 5, &retry_ms));
 	for (taken = 1; fg_limits_take(l, 90000, "b", 5, &retry_ms); taken++)
 		;
@@ -33,7 +33,7 @@
 	fg_limits_free(l);
 }
 
-static void test_limits_forget(void)
+static void test_limits_evict_idle(void)
 {
 	struct fg_limits *l = fg_limits_new(2);
 	uint32_t retry_ms;
@@ -43,7 +43,7 @@
 	g_assert_true(fg_limits_take(l, 1, "b", 1, &retry_ms));
 	g_assert_false(fg_limits_take(l, 2, "busy", 1, &retry_ms));
 	g_assert_true(fg_limits_take(l, 3, "c", 1, &retry_ms));
-	/* "b" was the longest idle and went, not "busy". */
+	/* "b" was idle for longest and was evicted, not "busy". */
 	g_assert_false(fg_limits_take(l, 4, "busy", 1, &retry_ms));
 	fg_limits_free(l);
 }
@@ -73,8 +73,9 @@
 	fg_estimate_free(e);
 }
 
-/* Refusals bring no samples; the estimate must not stay up for that. */
-static void test_estimate_recovers(void)
+/* Refused requests give no samples, so an estimate that is too high must
+ * expire by itself. */
+static void test_estimate_expires(void)
 {
 	struct fg_estimate *e = fg_estimate_new();
 	uint32_t retry_ms;
@@ -107,24 +108,24 @@
 	struct fg_retry *r = fg_retry_new(&retry_conf, SEED);
 	enum fg_class cls = FG_CLASS_INTERACTIVE;
 	uint32_t backoff_ms;
-	int again = 0;
+	int retries = 0;
 
 	for (int i = 0; i < 1000; i++) {
 		fg_retry_count_first(r, i * 5, cls);
-		again += fg_retry_take(r, i * 5, cls, 1, 9999, true,
-				       &backoff_ms);
+		retries += fg_retry_take(r, i * 5, cls, 1, 9999, true,
+					 &backoff_ms);
 	}
-	g_assert_cmpint(again, ==, 100 + 3);
+	g_assert_cmpint(retries, ==, 100 + 3);
 	g_assert_true(fg_retry_take(r, 5000, FG_CLASS_DRAFT, 1, 9999, true,
 				    &backoff_ms));
 	g_assert_cmpuint(fg_retry_budget_left(r, 5000, cls), ==, 0);
 	g_assert_cmpuint(fg_retry_budget_left(r, 5000, FG_CLASS_DRAFT), ==, 2);
-	/* All of it is out of the window 20 s later. */
+	/* 20 s later all attempts have left the window. */
 	g_assert_cmpuint(fg_retry_budget_left(r, 25000, cls), ==, 3);
-	again = 0;
+	retries = 0;
 	while (fg_retry_take(r, 25000, cls, 1, 9999, true, &backoff_ms))
-		again++;
-	g_assert_cmpint(again, ==, 3);
+		retries++;
+	g_assert_cmpint(retries, ==, 3);
 	fg_retry_free(r);
 }
 
@@ -156,60 +157,61 @@
 	.entries_max = 64,
 };
 
-static bool event(struct fg_suspects *s, fg_ms now, enum fg_suspect_event what,
-		  uint64_t fingerprint, uint64_t ep, uint64_t req)
+static bool report_event(struct fg_suspects *s, fg_ms now,
+			 enum fg_suspect_event type, uint64_t fingerprint,
+			 uint64_t ep, uint64_t req)
 {
 	fg_suspect ev = {
-		.fingerprint = fingerprint, .ep = ep, .event = what, .req = req
+		.fingerprint = fingerprint, .ep = ep, .event = type, .req = req
 	};
 
 	return fg_suspects_handle_event(s, now, req % 3 + 1, &ev);
 }
 
-static bool crash(struct fg_suspects *s, fg_ms now, uint64_t fingerprint,
-		  uint64_t ep, uint64_t req)
+static bool report_crash(struct fg_suspects *s, fg_ms now, uint64_t fingerprint,
+			 uint64_t ep, uint64_t req)
 {
-	return event(s, now, FG_SUSPECT_CRASH, fingerprint, ep, req);
+	return report_event(s, now, FG_SUSPECT_CRASH, fingerprint, ep, req);
 }
 
-static enum fg_suspect_verdict verdict(struct fg_suspects *s, fg_ms now,
-				       uint64_t fingerprint)
+static enum fg_suspect_verdict check_verdict(struct fg_suspects *s, fg_ms now,
+					     uint64_t fingerprint)
 {
 	uint32_t retry_ms;
 
 	return fg_suspects_check(s, now, fingerprint, &retry_ms);
 }
 
-static void test_suspect_refused(void)
+static void test_suspect_refused_after_two_crashes(void)
 {
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 	struct fg_suspect_view view[4];
 
-	g_assert_cmpint(verdict(s, 0, 7), ==, FG_SUSPECT_ALLOW);
-	g_assert_true(crash(s, 10, 7, 1, 100));
-	g_assert_false(crash(s, 5000, 7, 1, 100)); /* told again */
-	g_assert_cmpint(verdict(s, 20, 7), ==, FG_SUSPECT_RUN_ALONE);
-	g_assert_true(event(s, 30, FG_SUSPECT_STARTED, 7, 2, 101));
-	g_assert_cmpint(verdict(s, 40, 7), ==, FG_SUSPECT_WAIT);
+	g_assert_cmpint(check_verdict(s, 0, 7), ==, FG_SUSPECT_ALLOW);
+	g_assert_true(report_crash(s, 10, 7, 1, 100));
+	g_assert_false(report_crash(s, 5000, 7, 1, 100)); /* repeated event */
+	g_assert_cmpint(check_verdict(s, 20, 7), ==, FG_SUSPECT_RUN_ALONE);
+	g_assert_true(report_event(s, 30, FG_SUSPECT_STARTED, 7, 2, 101));
+	g_assert_cmpint(check_verdict(s, 40, 7), ==, FG_SUSPECT_WAIT);
 	g_assert_true(fg_suspects_is_running_on(s, 40, 2));
 	g_assert_false(fg_suspects_is_running_on(s, 40, 1));
-	g_assert_true(crash(s, 9000, 7, 2, 101));
-	g_assert_cmpint(verdict(s, 9001, 7), ==, FG_SUSPECT_REFUSE);
+	g_assert_true(report_crash(s, 9000, 7, 2, 101));
+	g_assert_cmpint(check_verdict(s, 9001, 7), ==, FG_SUSPECT_REFUSE);
 	g_assert_cmpuint(fg_suspects_list(s, 9001, view, 4), ==, 1);
 	g_assert_true(view[0].refused);
 	g_assert_cmpuint(view[0].crashes, ==, 2);
-	g_assert_cmpint(verdict(s, 609000, 7), ==, FG_SUSPECT_ALLOW);
+	g_assert_cmpint(check_verdict(s, 609000, 7), ==, FG_SUSPECT_ALLOW);
 	fg_suspects_free(s);
 }
 
-static void test_suspect_ran_well(void)
+static void test_suspect_cleared_by_clean_run(void)
 {
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 
-	crash(s, 10, 7, 1, 100);
-	event(s, 20, FG_SUSPECT_STARTED, 7, 2, 101);
-	event(s, 900, FG_SUSPECT_FINISHED, 7, 2, 101);
-	g_assert_cmpint(verdict(s, 1000, 7), ==, FG_SUSPECT_ALLOW);
+	report_crash(s, 10, 7, 1, 100);
+	report_event(s, 20, FG_SUSPECT_STARTED, 7, 2, 101);
+	report_event(s, 900, FG_SUSPECT_FINISHED, 7, 2, 101);
+	g_assert_cmpint(check_verdict(s, 1000, 7), ==, FG_SUSPECT_ALLOW);
 	fg_suspects_free(s);
 }
 
@@ -217,140 +219,141 @@
 {
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 
-	crash(s, 10, 7, 1, 100);
-	event(s, 20, FG_SUSPECT_STARTED, 7, 1, 101);
-	crash(s, 9000, 7, 1, 101);
-	g_assert_cmpint(verdict(s, 9010, 7), ==, FG_SUSPECT_RUN_ALONE);
+	report_crash(s, 10, 7, 1, 100);
+	report_event(s, 20, FG_SUSPECT_STARTED, 7, 1, 101);
+	report_crash(s, 9000, 7, 1, 101);
+	g_assert_cmpint(check_verdict(s, 9010, 7), ==, FG_SUSPECT_RUN_ALONE);
 	fg_suspects_free(s);
 }
 
-/* The holder of a started suspect died; whether it ran well is not known. */
-static void test_suspect_holder_dead(void)
+/* The instance that started a suspect died, so the result is unknown. */
+static void test_suspect_instance_dies(void)
 {
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 
-	crash(s, 10, 7, 1, 100);
-	event(s, 20, FG_SUSPECT_STARTED, 7, 2, 101);
+	report_crash(s, 10, 7, 1, 100);
+	report_event(s, 20, FG_SUSPECT_STARTED, 7, 2, 101);
 	fg_suspects_handle_dead_instance(s, 101 % 3 + 1);
-	g_assert_cmpint(verdict(s, 30, 7), ==, FG_SUSPECT_RUN_ALONE);
+	g_assert_cmpint(check_verdict(s, 30, 7), ==, FG_SUSPECT_RUN_ALONE);
 	fg_suspects_free(s);
 }
 
-/* A poisoned request kills two endpoints along with full batches. */
-static void test_suspect_in_batch(void)
+/* A request crashes two endpoints that run full batches of other requests. */
+static void test_suspect_found_in_batches(void)
 {
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 
 	for (uint64_t i = 0; i < 8; i++) {
-		crash(s, 10 + i, 20 + i, 1, 100 + i);
-		crash(s, 60010 + i, 40 + i, 2, 200 + i);
+		report_crash(s, 10 + i, 20 + i, 1, 100 + i);
+		report_crash(s, 60010 + i, 40 + i, 2, 200 + i);
 	}
-	crash(s, 12, 7, 1, 300);
-	crash(s, 60012, 7, 2, 301);
-	g_assert_cmpint(verdict(s, 60020, 7), ==, FG_SUSPECT_REFUSE);
-	g_assert_cmpint(verdict(s, 60020, 20), ==, FG_SUSPECT_RUN_ALONE);
+	report_crash(s, 12, 7, 1, 300);
+	report_crash(s, 60012, 7, 2, 301);
+	g_assert_cmpint(check_verdict(s, 60020, 7), ==, FG_SUSPECT_REFUSE);
+	g_assert_cmpint(check_verdict(s, 60020, 20), ==, FG_SUSPECT_RUN_ALONE);
 	fg_suspects_free(s);
 }
 
-/* An endpoint that dies by itself: under others each time, and twice under a
- * request that another sick endpoint had killed before. */
-static void test_suspect_sick_endpoint(void)
+/* A request crashed two endpoints. Both endpoints then crash repeatedly under
+ * different requests, which shows that they are faulty and clears the request.
+ */
+static void test_suspect_faulty_endpoint(void)
 {
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 
-	crash(s, 10, 7, 1, 100);
-	crash(s, 20000, 7, 2, 101);
-	g_assert_cmpint(verdict(s, 20001, 7), ==, FG_SUSPECT_REFUSE);
+	report_crash(s, 10, 7, 1, 100);
+	report_crash(s, 20000, 7, 2, 101);
+	g_assert_cmpint(check_verdict(s, 20001, 7), ==, FG_SUSPECT_REFUSE);
 	for (uint64_t i = 0; i < 3; i++)
-		crash(s, 30000 + 10000 * i, 20 + i, 1, 200 + i);
-	g_assert_cmpint(verdict(s, 60000, 7), ==, FG_SUSPECT_RUN_ALONE);
+		report_crash(s, 30000 + 10000 * i, 20 + i, 1, 200 + i);
+	g_assert_cmpint(check_verdict(s, 60000, 7), ==, FG_SUSPECT_RUN_ALONE);
 	for (uint64_t i = 0; i < 3; i++) {
-		g_assert_cmpint(verdict(s, 60000, 20 + i), ==,
+		g_assert_cmpint(check_verdict(s, 60000, 20 + i), ==,
 				FG_SUSPECT_ALLOW);
-		crash(s, 61000 + 10000 * i, 30 + i, 2, 300 + i);
+		report_crash(s, 61000 + 10000 * i, 30 + i, 2, 300 + i);
 	}
-	g_assert_cmpint(verdict(s, 90000, 7), ==, FG_SUSPECT_ALLOW);
-	/* Long after its sick time it still blames nobody. */
-	g_assert_cmpint(verdict(s, 500000, 7), ==, FG_SUSPECT_ALLOW);
+	g_assert_cmpint(check_verdict(s, 90000, 7), ==, FG_SUSPECT_ALLOW);
+	/* Crashes of that time blame no request later either. */
+	g_assert_cmpint(check_verdict(s, 500000, 7), ==, FG_SUSPECT_ALLOW);
 	fg_suspects_free(s);
 }
 
-static void test_suspect_one_endpoint(void)
+static void test_suspect_single_endpoint(void)
 {
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 
 	for (uint64_t i = 0; i < 4; i++) {
-		g_assert_cmpint(verdict(s, 1 + i * 10000, 7), !=,
+		g_assert_cmpint(check_verdict(s, 1 + i * 10000, 7), !=,
 				FG_SUSPECT_REFUSE);
-		crash(s, 10 + i * 10000, 7, 1, 100 + i);
+		report_crash(s, 10 + i * 10000, 7, 1, 100 + i);
 	}
-	g_assert_cmpint(verdict(s, 50000, 7), ==, FG_SUSPECT_REFUSE);
+	g_assert_cmpint(check_verdict(s, 50000, 7), ==, FG_SUSPECT_REFUSE);
 	fg_suspects_free(s);
 }
 
-/* Attempts of one request follow one another: each that dies is a death of its
- * own, however soon it comes after the last. */
+/* Attempts of one request run one after another, so each crash is a separate
+ * death, however soon it follows the previous one. */
 static void test_suspect_quick_restarts(void)
 {
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 	uint64_t req = 5 << 8;
 
 	for (uint64_t attempt = 1; attempt <= 3; attempt++)
-		crash(s, 400 * (fg_ms)attempt, 7, 1, req | attempt);
-	g_assert_cmpint(verdict(s, 1300, 7), ==, FG_SUSPECT_RUN_ALONE);
-	crash(s, 1600, 7, 1, req | 4);
-	g_assert_cmpint(verdict(s, 1700, 7), ==, FG_SUSPECT_REFUSE);
+		report_crash(s, 400 * (fg_ms)attempt, 7, 1, req | attempt);
+	g_assert_cmpint(check_verdict(s, 1300, 7), ==, FG_SUSPECT_RUN_ALONE);
+	report_crash(s, 1600, 7, 1, req | 4);
+	g_assert_cmpint(check_verdict(s, 1700, 7), ==, FG_SUSPECT_REFUSE);
 	fg_suspects_free(s);
 }
 
-/* An attempt that an endpoint never took says nothing good of a suspect. */
-static void test_suspect_unrun(void)
+/* An attempt that the endpoint never ran does not clear a suspect. */
+static void test_suspect_attempt_not_run(void)
 {
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 
-	crash(s, 10, 7, 1, 100);
-	event(s, 20, FG_SUSPECT_STARTED, 7, 2, 301);
-	g_assert_cmpint(verdict(s, 25, 7), ==, FG_SUSPECT_WAIT);
-	event(s, 30, FG_SUSPECT_NOT_RUN, 7, 2, 301);
-	g_assert_cmpint(verdict(s, 40, 7), ==, FG_SUSPECT_RUN_ALONE);
+	report_crash(s, 10, 7, 1, 100);
+	report_event(s, 20, FG_SUSPECT_STARTED, 7, 2, 301);
+	g_assert_cmpint(check_verdict(s, 25, 7), ==, FG_SUSPECT_WAIT);
+	report_event(s, 30, FG_SUSPECT_NOT_RUN, 7, 2, 301);
+	g_assert_cmpint(check_verdict(s, 40, 7), ==, FG_SUSPECT_RUN_ALONE);
 	fg_suspects_free(s);
 }
 
-static void test_suspect_clear(void)
+static void test_suspect_cleared_by_operator(void)
 {
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 
 	g_assert_false(fg_suspects_clear(s, 7));
-	crash(s, 10, 7, 1, 100);
-	crash(s, 10000, 7, 2, 101);
+	report_crash(s, 10, 7, 1, 100);
+	report_crash(s, 10000, 7, 2, 101);
 	g_assert_true(fg_suspects_clear(s, 7));
 	g_assert_false(fg_suspects_clear(s, 7));
-	crash(s, 11000, 7, 2, 101); /* a repeat that arrives late */
-	g_assert_cmpint(verdict(s, 11001, 7), ==, FG_SUSPECT_ALLOW);
-	crash(s, 20000, 7, 1, 102);
-	g_assert_true(event(s, 21000, FG_SUSPECT_CLEARED, 7, 0, 500));
-	g_assert_cmpint(verdict(s, 21001, 7), ==, FG_SUSPECT_ALLOW);
-	crash(s, 30000, 7, 1, 103);
-	g_assert_false(event(s, 31000, FG_SUSPECT_CLEARED, 7, 0, 500));
-	g_assert_cmpint(verdict(s, 31001, 7), ==, FG_SUSPECT_RUN_ALONE);
+	report_crash(s, 11000, 7, 2, 101); /* a late repeat */
+	g_assert_cmpint(check_verdict(s, 11001, 7), ==, FG_SUSPECT_ALLOW);
+	report_crash(s, 20000, 7, 1, 102);
+	g_assert_true(report_event(s, 21000, FG_SUSPECT_CLEARED, 7, 0, 500));
+	g_assert_cmpint(check_verdict(s, 21001, 7), ==, FG_SUSPECT_ALLOW);
+	report_crash(s, 30000, 7, 1, 103);
+	g_assert_false(report_event(s, 31000, FG_SUSPECT_CLEARED, 7, 0, 500));
+	g_assert_cmpint(check_verdict(s, 31001, 7), ==, FG_SUSPECT_RUN_ALONE);
 	fg_suspects_free(s);
 }
 
-static void test_suspect_bound(void)
+static void test_suspect_table_bound(void)
 {
 	struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 
-	crash(s, 1, 7, 1, 1);
-	crash(s, 5000, 7, 2, 2);
+	report_crash(s, 1, 7, 1, 1);
+	report_crash(s, 5000, 7, 2, 2);
 	for (uint64_t i = 0; i < 1000; i++)
-		crash(s, 6000 + i, 100 + i, 50 + i, 1000 + i);
+		report_crash(s, 6000 + i, 100 + i, 50 + i, 1000 + i);
 	g_assert_cmpuint(fg_suspects_list(s, 7000, NULL, 0), ==, 64);
-	g_assert_cmpint(verdict(s, 7000, 7), ==, FG_SUSPECT_REFUSE);
+	g_assert_cmpint(check_verdict(s, 7000, 7), ==, FG_SUSPECT_REFUSE);
 	fg_suspects_free(s);
 }
 
-/* The same events, repeated and in any order, give the same verdicts. */
-static void test_suspect_orders(void)
+/* The same events give the same verdicts in any order and with repeats. */
+static void test_suspect_event_order(void)
 {
 	static const fg_suspect events[] = {
 		{ 7, { 1, 1 }, 1, FG_SUSPECT_CRASH, 100 },
@@ -365,7 +368,7 @@
 	struct fg_rand rand;
 
 	fg_rand_seed(&rand, SEED);
-	for (int run = 0; run < ORDERS; run++) {
+	for (int run = 0; run < SHUFFLES; run++) {
 		struct fg_suspects *s = fg_suspects_new(&suspects_conf);
 		uint32_t seen = 0;
 
@@ -375,9 +378,9 @@
 			fg_suspects_handle_event(s, 10, 1, &events[i]);
 			seen |= 1u << i;
 		}
-		g_assert_cmpint(verdict(s, 20, 7), ==, FG_SUSPECT_REFUSE);
-		g_assert_cmpint(verdict(s, 20, 8), ==, FG_SUSPECT_ALLOW);
-		g_assert_cmpint(verdict(s, 20, 9), ==, FG_SUSPECT_WAIT);
+		g_assert_cmpint(check_verdict(s, 20, 7), ==, FG_SUSPECT_REFUSE);
+		g_assert_cmpint(check_verdict(s, 20, 8), ==, FG_SUSPECT_ALLOW);
+		g_assert_cmpint(check_verdict(s, 20, 9), ==, FG_SUSPECT_WAIT);
 		fg_suspects_free(s);
 	}
 }
@@ -386,24 +389,29 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/admit/limits_rate", test_limits_rate);
-	g_test_add_func("/admit/limits_forget", test_limits_forget);
+	g_test_add_func("/admit/limits_forget", test_limits_evict_idle);
 	g_test_add_func("/admit/estimate", test_estimate_percentiles);
-	g_test_add_func("/admit/estimate_recovers", test_estimate_recovers);
+	g_test_add_func("/admit/estimate_recovers", test_estimate_expires);
 	g_test_add_func("/admit/retry_budget", test_retry_budget);
 	g_test_add_func("/admit/retry_refusals", test_retry_refusals);
-	g_test_add_func("/admit/suspect_refused", test_suspect_refused);
-	g_test_add_func("/admit/suspect_ran_well", test_suspect_ran_well);
+	g_test_add_func("/admit/suspect_refused",
+			test_suspect_refused_after_two_crashes);
+	g_test_add_func("/admit/suspect_ran_well",
+			test_suspect_cleared_by_clean_run);
 	g_test_add_func("/admit/suspect_crash_ends",
 			test_suspect_crash_ends_run);
-	g_test_add_func("/admit/suspect_holder_dead", test_suspect_holder_dead);
-	g_test_add_func("/admit/suspect_in_batch", test_suspect_in_batch);
-	g_test_add_func("/admit/suspect_sick", test_suspect_sick_endpoint);
-	g_test_add_func("/admit/suspect_one_ep", test_suspect_one_endpoint);
-	g_test_add_func("/admit/suspect_clear", test_suspect_clear);
+	g_test_add_func("/admit/suspect_holder_dead",
+			test_suspect_instance_dies);
+	g_test_add_func("/admit/suspect_in_batch",
+			test_suspect_found_in_batches);
+	g_test_add_func("/admit/suspect_sick", test_suspect_faulty_endpoint);
+	g_test_add_func("/admit/suspect_one_ep", test_suspect_single_endpoint);
+	g_test_add_func("/admit/suspect_clear",
+			test_suspect_cleared_by_operator);
 	g_test_add_func("/admit/suspect_quick_restarts",
 			test_suspect_quick_restarts);
-	g_test_add_func("/admit/suspect_unrun", test_suspect_unrun);
-	g_test_add_func("/admit/suspect_bound", test_suspect_bound);
-	g_test_add_func("/admit/suspect_orders", test_suspect_orders);
+	g_test_add_func("/admit/suspect_unrun", test_suspect_attempt_not_run);
+	g_test_add_func("/admit/suspect_bound", test_suspect_table_bound);
+	g_test_add_func("/admit/suspect_orders", test_suspect_event_order);
 	return g_test_run();
 }
