--- a/lib/ledger/fg_ledger.c
+++ b/lib/ledger/fg_ledger.c
@@ -5,8 +5,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Rows are kept at least this long, whatever the settings say. */
-#define KEEP_MIN_S 3600
+/* Lower bound of the configured retention. */
+#define RETENTION_MIN_S 3600
 
 struct fg_ledger *fg_ledger_new(const struct fg_ledger_conf *conf,
 				uint64_t seed)
@@ -14,7 +14,7 @@
 	struct fg_ledger *l = g_new0(struct fg_ledger, 1);
 
 	l->conf = *conf;
-	l->conf.retention_s = MAX(conf->retention_s, KEEP_MIN_S);
+	l->conf.retention_s = MAX(conf->retention_s, RETENTION_MIN_S);
 	l->conf.record_retry_ms = MAX(conf->record_retry_ms, 1);
 	fg_rand_seed(&l->rand, fg_hash_mix(seed, conf->self));
 	g_queue_init(&l->filings);
@@ -22,7 +22,7 @@
 	l->by_row = g_hash_table_new(g_str_hash, g_str_equal);
 	l->ops = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 				       g_free);
-	l->next = FG_MS_NEVER;
+	l->next_tick_at = FG_MS_NEVER;
 	return l;
 }
 
@@ -34,7 +34,7 @@
 		struct filing *f = l->filings.head->data;
 
 		f->in_flight = false;
-		filing_drop(l, f);
+		filing_remove(l, f);
 	}
 	g_hash_table_destroy(l->ops);
 	g_hash_table_destroy(l->by_row);
@@ -55,7 +55,7 @@
 	l->wall_known = true;
 }
 
-fg_ms ledger_wall(const struct fg_ledger *l)
+fg_ms ledger_wall_now(const struct fg_ledger *l)
 {
 	return l->now + l->wall_offset_ms;
 }
@@ -67,7 +67,7 @@
 	return l->now + base_ms + fg_rand_below(&l->rand, base_ms / 2 + 1);
 }
 
-uint64_t ledger_id(struct fg_ledger *l)
+uint64_t ledger_new_id(struct fg_ledger *l)
 {
 	uint64_t id;
 
@@ -113,25 +113,26 @@
 	g_free(joined);
 }
 
-/* ---- Starting ---- */
+/* ---- Start and outcome ---- */
 
-/* A repeat of a key that this instance has in hand; it never runs. */
+/* Answers a repeat of a key that is in progress on this instance. A repeat is
+ * never dispatched. */
 static void answer_repeat(struct fg_ledger *l, const struct filing *f,
 			  uint64_t id, uint64_t body_hash)
 {
-	uint32_t again_ms = l->conf.record_retry_ms;
+	uint32_t retry_after_ms = l->conf.record_retry_ms;
 
-	if (f->body != body_hash)
+	if (f->body_hash != body_hash)
 		ledger_answer(l, id, FG_NOT_RUN, FG_R_KEY_REUSED, NULL, false,
 			      0);
-	else if (f->phase == FILING_RECORD)
+	else if (f->phase == FILING_RECORDING)
 		ledger_answer(l, id, f->outcome, f->reason, f->text, true, 0);
-	else if (f->phase == FILING_UNDO || f->answered)
+	else if (f->phase == FILING_UNDOING || f->answered)
 		ledger_answer(l, id, FG_NOT_RUN, FG_R_LEDGER_DOWN, NULL, false,
-			      again_ms);
+			      retry_after_ms);
 	else
 		ledger_answer(l, id, FG_UNKNOWN, FG_R_IN_PROGRESS, NULL, false,
-			      again_ms);
+			      retry_after_ms);
 }
 
 static bool is_full(const struct fg_ledger *l)
@@ -140,8 +141,8 @@
 	       l->held_bytes >= FG_LEDGER_HELD_BYTES_MAX;
 }
 
-/* Reason to refuse a new key at once, FG_R_NONE if there is none. */
-static enum fg_reason refusal(const struct fg_ledger *l, fg_ms deadline)
+/* Returns the reason to refuse a new key, or FG_R_NONE. */
+static enum fg_reason refusal_reason(const struct fg_ledger *l, fg_ms deadline)
 {
 	if (l->now >= deadline)
 		return FG_R_PAST_DEADLINE;
@@ -159,18 +160,18 @@
 
 	f->link.data = f;
 	f->id = id;
-	f->nonce = ledger_id(l);
-	f->body = body_hash;
+	f->nonce = ledger_new_id(l);
+	f->body_hash = body_hash;
 	g_strlcpy(f->row_key, row_key, sizeof(f->row_key));
-	f->phase = FILING_START;
-	f->expect = 0;
-	f->expect_known = true;
-	f->begun = l->now;
+	f->phase = FILING_STARTING;
+	f->expected_version = 0;
+	f->has_expected_version = true;
+	f->arrived_at = l->now;
 	f->deadline = deadline;
 	g_queue_push_tail_link(&l->filings, &f->link);
 	g_hash_table_insert(l->by_id, &f->id, f);
 	g_hash_table_insert(l->by_row, f->row_key, f);
-	filing_want(l, f, WANT_WRITE, l->now + l->conf.group_ms);
+	filing_schedule_op(l, f, FILING_OP_WRITE, l->now + l->conf.group_ms);
 }
 
 void fg_ledger_start(struct fg_ledger *l, fg_ms now, uint64_t id,
@@ -178,7 +179,7 @@
 		     fg_ms deadline, fg_ledger_emit emit, void *arg)
 {
 	char row_key[FG_ROW_KEY_MAX];
-	const struct filing *held;
+	const struct filing *existing;
 	enum fg_reason reason;
 
 	assert(!g_hash_table_contains(l->by_id, &id));
@@ -186,12 +187,12 @@
 	l->emit = emit;
 	l->emit_arg = arg;
 	fg_ledger_row_key(caller, key, row_key);
-	held = g_hash_table_lookup(l->by_row, row_key);
-	if (held != NULL) {
-		answer_repeat(l, held, id, body_hash);
+	existing = g_hash_table_lookup(l->by_row, row_key);
+	if (existing != NULL) {
+		answer_repeat(l, existing, id, body_hash);
 		return;
 	}
-	reason = refusal(l, deadline);
+	reason = refusal_reason(l, deadline);
 	if (reason != FG_R_NONE) {
 		ledger_answer(l, id, FG_NOT_RUN, reason, NULL, false,
 			      MAX(l->down_until - now,
@@ -200,7 +201,7 @@
 	}
 	add_filing(l, id, row_key, body_hash, deadline);
 	ledger_flush(l);
-	ledger_schedule(l);
+	ledger_update_next_tick(l);
 }
 
 void fg_ledger_record_outcome(struct fg_ledger *l, fg_ms now, uint64_t id,
@@ -209,7 +210,7 @@
 {
 	struct filing *f = g_hash_table_lookup(l->by_id, &id);
 
-	if (f == NULL || f->phase != FILING_RUN)
+	if (f == NULL || f->phase != FILING_RUNNING)
 		return;
 	l->now = now;
 	l->emit = emit;
@@ -227,12 +228,12 @@
 		filing_record(l, f, now + l->conf.group_ms);
 	}
 	ledger_flush(l);
-	ledger_schedule(l);
+	ledger_update_next_tick(l);
 }
 
-/* ---- Time ---- */
+/* ---- Timeouts ---- */
 
-static void check_times(struct fg_ledger *l)
+static void handle_timeouts(struct fg_ledger *l)
 {
 	GList *next;
 
@@ -242,9 +243,9 @@
 		next = n->next;
 		if (f->answered)
 			continue;
-		if (f->phase == FILING_START && filing_late(l, f))
-			filing_give_up(l, f);
-		else if (f->phase == FILING_UNDO && l->now >= f->answer_by)
+		if (f->phase == FILING_STARTING && filing_is_late(l, f))
+			filing_time_out(l, f);
+		else if (f->phase == FILING_UNDOING && l->now >= f->answer_by)
 			filing_answer_not_run(l, f);
 	}
 }
@@ -252,14 +253,14 @@
 void fg_ledger_tick(struct fg_ledger *l, fg_ms now, fg_ledger_emit emit,
 		    void *arg)
 {
-	if (now < l->next)
+	if (now < l->next_tick_at)
 		return;
 	l->now = now;
 	l->emit = emit;
 	l->emit_arg = arg;
-	check_times(l);
+	handle_timeouts(l);
 	ledger_flush(l);
-	ledger_schedule(l);
+	ledger_update_next_tick(l);
 }
 
 size_t fg_ledger_pending(const struct fg_ledger *l)
@@ -269,5 +270,5 @@
 
 fg_ms fg_ledger_next_tick(const struct fg_ledger *l)
 {
-	return l->next;
+	return l->next_tick_at;
 }
--- a/lib/ledger/fg_ledger.h
+++ b/lib/ledger/fg_ledger.h
@@ -1,22 +1,27 @@
 /*
- * fg_ledger - filings run at most once.
+ * fg_ledger - runs each filing at most once.
  *
- * Pure. Before the one dispatch of a filing, row filing/<hash of caller and
- * key> is created by a conditional insert:
+ * Before the only dispatch of a filing, the row filing/<hash of caller and key>
+ * is created by a conditional insert:
  *   {"format":1,"state":"started","nonce":N,"body":H,"by":INSTANCE,"at":MS}
- * A lost answer to that write is resolved by reading the row back and looking
- * for the own nonce, never by writing again blindly. After dispatch the row
- * becomes done, failed or unknown with the answer, or not_run when it
- * provably never ran; only a not_run row may be started again. There is no
- * second dispatch, whatever happens in between. Every write requires the row
- * version it was decided on, so a write delayed on its way is void after any
- * later one. A start that is given up is made void the same way before the
- * key can be used again.
+ * If the answer to that write is lost, the ledger reads the row back and looks
+ * for its own nonce. It never repeats the insert without reading. After the
+ * dispatch the row becomes done, failed or unknown, with the answer, or not_run
+ * if the filing provably never ran. Only a not_run row may be started again. No
+ * fault in between leads to a second dispatch.
  *
- * Writes of many filings due within group_ms share one transaction of up to
- * FG_TXN_MAX rows; if it conflicts, the row in the way is settled by itself.
- * A transaction's FG_PF_OK may carry the new row versions as rows without
- * value; without them the ledger reads the row before it records an outcome.
+ * Every write requires the row version that its decision was based on, so a
+ * delayed write has no effect after any later one. An abandoned start is voided
+ * in this way before its key can be used again.
+ *
+ * Writes of several filings due within group_ms share one transaction of up to
+ * FG_TXN_MAX rows. If it conflicts, the conflicting row settles its filing, and
+ * the others are written again. The FG_PF_OK of a transaction may carry the new
+ * row versions as rows without a value. Without them the ledger reads the row
+ * before it records an outcome.
+ *
+ * Does no I/O and reads no clock: the caller passes events and the time, and
+ * carries out the emitted acts.
  */
 #ifndef FG_LEDGER_H
 #define FG_LEDGER_H
@@ -29,33 +34,33 @@
 #include "base/fg_outcome.h"
 #include "platform/fg_platform.h"
 
-#define FG_LEDGER_PREFIX "filing/" /* of the row keys */
+#define FG_LEDGER_PREFIX "filing/" /* prefix of the row keys */
 
 /*
- * Bounds of what is held while the platform is out. An outcome that waits for
- * its row is never dropped: beyond either bound new keys are refused, so that
+ * Memory bounds for an outage of the platform. An outcome that is not recorded
+ * yet is never dropped. New keys are refused beyond either bound instead, so
  * memory stays below HELD_BYTES_MAX plus one answer for each filing that was
- * running at that moment.
+ * running when the bound was reached.
  */
 #define FG_LEDGER_FILINGS_MAX 4096
 #define FG_LEDGER_HELD_BYTES_MAX (8u << 20)
 
-/* Parts of the key space that fg_ledger_sweep() takes one at a time. */
+/* fg_ledger_sweep() reads one of this many parts of the key space per call. */
 #define FG_LEDGER_SWEEP_PARTS 4096
 
 struct fg_ledger_conf {
-	uint64_t self;
-	uint32_t group_ms; /* longest wait for others to share a write */
-	uint32_t start_timeout_ms; /* a start not settled by then: refused */
-	uint32_t record_retry_ms;  /* between tries to record an outcome */
-	uint32_t retention_s; /* a row is kept this long after its outcome */
+	uint64_t self;		   /* this instance */
+	uint32_t group_ms;	   /* longest wait to share a write */
+	uint32_t start_timeout_ms; /* an unsettled start is refused then */
+	uint32_t record_retry_ms;  /* between attempts to record an outcome */
+	uint32_t retention_s; /* rows are kept this long after the outcome */
 };
 
 enum fg_ledger_act_type {
 	FG_LA_TABLE = 1,    /* run op */
-	FG_LA_DISPATCH = 2, /* filing `id` may be dispatched, this once */
-	FG_LA_ANSWER = 3,   /* tell the caller of `id`; final */
-	FG_LA_RECORDED = 4, /* outcome of `id`, once dispatched, is stored */
+	FG_LA_DISPATCH = 2, /* dispatch filing `id`; sent at most once */
+	FG_LA_ANSWER = 3,   /* answer the caller of `id`; final */
+	FG_LA_RECORDED = 4, /* outcome of dispatched filing `id` is stored */
 };
 
 struct fg_ledger_act {
@@ -69,6 +74,8 @@
 	uint32_t retry_after_ms; /* ANSWER with NOT_RUN or IN_PROGRESS */
 };
 
+/* Receives each act during a call into the ledger, with the `arg` of that call.
+ * Must not call the ledger. */
 typedef void (*fg_ledger_emit)(void *arg, struct fg_ledger_act *act);
 
 struct fg_ledger;
@@ -76,63 +83,68 @@
 				uint64_t seed);
 void fg_ledger_free(struct fg_ledger *l);
 
-/* Which instances are dead, asked when a started row of another instance is
- * found: then the caller is told UNKNOWN rather than IN_PROGRESS. */
+/* `is_dead` tells whether an instance is dead. It is called when a row started
+ * by another instance is found. A repeat of a filing that a dead instance
+ * started is answered with ENDPOINT_LOST instead of IN_PROGRESS. */
 void fg_ledger_set_is_dead(struct fg_ledger *l,
 			   bool (*is_dead)(void *arg, uint64_t inst),
 			   void *arg);
 
-/* Wall-clock time minus `now`, for the stamps of rows. Without it nothing is
- * ever swept. Set it again when the wall clock was stepped. */
+/* Passes in the wall-clock time minus `now`, for the timestamps of rows. Rows
+ * are not swept before the first call. Call it again after the wall clock was
+ * stepped. */
 void fg_ledger_set_wall_offset(struct fg_ledger *l, int64_t wall_minus_now_ms);
 
 /*
- * A filing arrived, id unique in this process. Ends in DISPATCH or ANSWER.
- * At most one filing per (caller, key) is in progress here: a second one is
- * answered with UNKNOWN and IN_PROGRESS, or with NOT_RUN and KEY_REUSED when
- * its body hash differs. IN_PROGRESS never comes with NOT_RUN: the filing
- * that the key names may be running.
- *
- * emit must not call back into the ledger.
+ * A filing arrived. `id` is unique in this process. The filing ends in DISPATCH
+ * or ANSWER. At most one filing per (caller, key) is in progress on this
+ * instance. A second one is answered with UNKNOWN and IN_PROGRESS, or with
+ * NOT_RUN and KEY_REUSED if its body hash differs. IN_PROGRESS is never
+ * combined with NOT_RUN, since the first filing may be running.
  */
 void fg_ledger_start(struct fg_ledger *l, fg_ms now, uint64_t id,
 		     const char *caller, const char *key, uint64_t body_hash,
 		     fg_ms deadline, fg_ledger_emit emit, void *arg);
 
 /*
- * How the dispatch of `id` ended; text (answer) may be NULL. The caller is
- * answered at once, and the row is written until it succeeds. An outcome of
- * FG_NOT_RUN is answered when the row says so, since until then the key cannot
- * be started again; with the platform out, at the deadline or after
- * start_timeout_ms, whichever comes first. Ids that are not dispatched are
- * ignored.
+ * The dispatch of `id` ended. `text` is the answer, copied, and may be NULL.
+ * The caller is answered at once, and the write of the row is retried until it
+ * succeeds. FG_NOT_RUN is answered only when the row is not_run, since the key
+ * cannot be started again before that. If the platform is unavailable, it is
+ * answered at the deadline or start_timeout_ms after this call, whichever comes
+ * first.
+ * Ids that are not dispatched are ignored.
  */
 void fg_ledger_record_outcome(struct fg_ledger *l, fg_ms now, uint64_t id,
 			      enum fg_outcome outcome, enum fg_reason reason,
 			      const char *text, fg_ledger_emit emit, void *arg);
 
-/* Call at least each 10 ms while filings are in progress. */
+/* Handles timeouts and due operations. Call it at least every 10 ms while
+ * filings are in progress. */
 void fg_ledger_tick(struct fg_ledger *l, fg_ms now, fg_ledger_emit emit,
 		    void *arg);
+
+/* Passes in the result of a TABLE act; `res` stays the caller's. Returns false
+ * if the ledger has no such operation in flight. */
 bool fg_ledger_handle_result(struct fg_ledger *l, fg_ms now,
 			     const struct fg_table_result *res,
 			     fg_ledger_emit emit, void *arg);
 
-/* Filings that are not settled; a planned stop waits for 0. */
+/* Returns the number of unsettled filings. A planned stop waits for 0. */
 size_t fg_ledger_pending(const struct fg_ledger *l);
 
-/* Earliest time at which a tick has work, FG_MS_NEVER when none. */
+/* Returns the earliest time at which a tick has work, or FG_MS_NEVER. */
 fg_ms fg_ledger_next_tick(const struct fg_ledger *l);
 
 /*
- * Reads one part of the rows and deletes up to FG_TXN_MAX that are retention_s
- * older than the newest of them. One part each few seconds and region is
- * enough; a key is protected against repetition until its row is deleted.
+ * Reads one part of the rows and deletes up to FG_TXN_MAX of them that are
+ * retention_s older than the newest one. One part every few seconds per region
+ * is enough. A key is protected against a second run until its row is deleted.
  */
 void fg_ledger_sweep(struct fg_ledger *l, fg_ms now, fg_ledger_emit emit,
 		     void *arg);
 
-/* Row key of (caller, key) into out[FG_ROW_KEY_MAX]. */
+/* Writes the row key of (caller, key) to out[FG_ROW_KEY_MAX]. */
 void fg_ledger_row_key(const char *caller, const char *key, char *out);
 
 #endif
--- a/lib/ledger/fg_ledger_decide.c
+++ b/lib/ledger/fg_ledger_decide.c
@@ -1,31 +1,31 @@
 /*
- * What one filing does next, given what its row says.
+ * Decides the next step of a filing from the contents of its row.
  *
- * Invariants: a filing is dispatched only from filing_confirm(), which a
- * filing reaches once, with its own nonce seen in a started row; every write
- * requires a row version, so that a write delayed on its way is void after
- * any later one; nobody writes over a started row but the owner of its nonce.
+ * Invariants: a filing is dispatched only by filing_dispatch(), at most once,
+ * after a started row with its own nonce was stored. Every write requires a row
+ * version, so a delayed write has no effect after any later one. Only the
+ * filing whose nonce a started row carries overwrites that row.
  */
 #include "ledger/fg_ledger_internal.h"
 
 #include <assert.h>
 #include <string.h>
 
-/* A caller told "in progress" asks again after this. */
-#define ASK_AGAIN_MS 500
+/* Retry hint of an IN_PROGRESS answer. */
+#define IN_PROGRESS_RETRY_MS 500
 
-/* Between tries to read a row back while a start waits for it. */
+/* Pause between attempts to read a row back during a start. */
 #define READ_RETRY_MS 50
 
-void filing_want(struct fg_ledger *l, struct filing *f, enum filing_want want,
-		 fg_ms due)
+void filing_schedule_op(struct fg_ledger *l, struct filing *f,
+			enum filing_op op, fg_ms due_at)
 {
-	f->want = want;
-	f->due = due;
-	l->next = MIN(l->next, due);
+	f->next_op = op;
+	f->due_at = due_at;
+	l->next_tick_at = MIN(l->next_tick_at, due_at);
 }
 
-void filing_drop(struct fg_ledger *l, struct filing *f)
+void filing_remove(struct fg_ledger *l, struct filing *f)
 {
 	assert(!f->in_flight);
 	g_hash_table_remove(l->by_id, &f->id);
@@ -37,35 +37,38 @@
 	g_free(f);
 }
 
-static void want_conditional_write(struct fg_ledger *l, struct filing *f,
-				   fg_ms due)
+static void schedule_conditional_write(struct fg_ledger *l, struct filing *f,
+				       fg_ms due_at)
 {
-	filing_want(l, f, f->expect_known ? WANT_WRITE : WANT_READ, due);
+	filing_schedule_op(l, f,
+			   f->has_expected_version ? FILING_OP_WRITE
+						   : FILING_OP_READ,
+			   due_at);
 }
 
-void filing_record(struct fg_ledger *l, struct filing *f, fg_ms due)
+void filing_record(struct fg_ledger *l, struct filing *f, fg_ms due_at)
 {
-	f->phase = FILING_RECORD;
-	want_conditional_write(l, f, due);
+	f->phase = FILING_RECORDING;
+	schedule_conditional_write(l, f, due_at);
 }
 
-void filing_undo(struct fg_ledger *l, struct filing *f, fg_ms due)
+void filing_undo(struct fg_ledger *l, struct filing *f, fg_ms due_at)
 {
-	assert(f->phase == FILING_START || f->outcome == FG_NOT_RUN);
-	f->phase = FILING_UNDO;
+	assert(f->phase == FILING_STARTING || f->outcome == FG_NOT_RUN);
+	f->phase = FILING_UNDOING;
 	f->outcome = FG_NOT_RUN;
-	want_conditional_write(l, f, due);
+	schedule_conditional_write(l, f, due_at);
 }
 
-bool filing_late(const struct fg_ledger *l, const struct filing *f)
+bool filing_is_late(const struct fg_ledger *l, const struct filing *f)
 {
 	return l->now >= f->deadline ||
-	       l->now - f->begun >= (fg_ms)l->conf.start_timeout_ms;
+	       l->now - f->arrived_at >= (fg_ms)l->conf.start_timeout_ms;
 }
 
-static void answer_start(struct fg_ledger *l, struct filing *f,
-			 enum fg_outcome outcome, enum fg_reason reason,
-			 uint32_t retry_after_ms)
+static void answer_undispatched(struct fg_ledger *l, struct filing *f,
+				enum fg_outcome outcome, enum fg_reason reason,
+				uint32_t retry_after_ms)
 {
 	assert(!f->dispatched);
 	if (!f->answered)
@@ -80,7 +83,7 @@
 		l->now >= f->deadline ? FG_R_PAST_DEADLINE : FG_R_LEDGER_DOWN;
 
 	f->reason = reason;
-	answer_start(l, f, FG_NOT_RUN, reason, l->conf.record_retry_ms);
+	answer_undispatched(l, f, FG_NOT_RUN, reason, l->conf.record_retry_ms);
 }
 
 void filing_answer_not_run(struct fg_ledger *l, struct filing *f)
@@ -92,126 +95,129 @@
 	f->answered = true;
 }
 
-/* Ends a start that will never be dispatched. A row of it that may exist, or
- * may come to exist when a delayed insert arrives, is made void first. */
-static void abandon(struct fg_ledger *l, struct filing *f, fg_ms due)
+/* Ends a start that will never be dispatched. If its row may exist, or may be
+ * created by a delayed insert, the row is voided first. */
+static void abandon_start(struct fg_ledger *l, struct filing *f, fg_ms due_at)
 {
 	assert(f->answered);
-	if (f->may_exist)
-		filing_undo(l, f, due);
+	if (f->row_may_exist)
+		filing_undo(l, f, due_at);
 	else
-		filing_drop(l, f);
+		filing_remove(l, f);
 }
 
-void filing_give_up(struct fg_ledger *l, struct filing *f)
+void filing_time_out(struct fg_ledger *l, struct filing *f)
 {
 	answer_late(l, f);
 	if (!f->in_flight)
-		abandon(l, f, l->now);
+		abandon_start(l, f, l->now);
 }
 
-/* The started row with our nonce is stored. */
-static void filing_confirm(struct fg_ledger *l, struct filing *f)
+/* Dispatches a filing whose started row is stored. A late filing is undone
+ * instead. */
+static void filing_dispatch(struct fg_ledger *l, struct filing *f)
 {
 	struct fg_ledger_act act = { .type = FG_LA_DISPATCH, .id = f->id };
 
-	assert(f->phase == FILING_START && !f->dispatched);
-	if (f->answered || filing_late(l, f)) {
+	assert(f->phase == FILING_STARTING && !f->dispatched);
+	if (f->answered || filing_is_late(l, f)) {
 		answer_late(l, f);
 		filing_undo(l, f, l->now);
 		return;
 	}
-	f->phase = FILING_RUN;
-	f->want = WANT_NOTHING;
+	f->phase = FILING_RUNNING;
+	f->next_op = FILING_OP_NONE;
 	f->dispatched = true;
 	l->emit(l->emit_arg, &act);
 }
 
-/* The row says how the filing ended, or can never say that it started. */
-static void filing_settled(struct fg_ledger *l, struct filing *f)
+/* Ends a filing whose outcome is stored or whose start is void for good. */
+static void filing_settle(struct fg_ledger *l, struct filing *f)
 {
 	struct fg_ledger_act act = { .type = FG_LA_RECORDED, .id = f->id };
 
-	if (f->phase == FILING_UNDO)
+	if (f->phase == FILING_UNDOING)
 		filing_answer_not_run(l, f);
 	if (f->dispatched)
 		l->emit(l->emit_arg, &act);
-	filing_drop(l, f);
+	filing_remove(l, f);
 }
 
-void filing_written(struct fg_ledger *l, struct filing *f)
+void filing_handle_written(struct fg_ledger *l, struct filing *f)
 {
-	if (f->phase == FILING_START) {
-		f->may_exist = true;
-		filing_confirm(l, f);
+	if (f->phase == FILING_STARTING) {
+		f->row_may_exist = true;
+		filing_dispatch(l, f);
 		return;
 	}
-	filing_settled(l, f);
+	filing_settle(l, f);
 }
 
-void filing_write_down(struct fg_ledger *l, struct filing *f)
+void filing_handle_write_down(struct fg_ledger *l, struct filing *f)
 {
-	if (f->phase != FILING_START) {
-		filing_want(l, f, WANT_WRITE, ledger_retry_at(l));
+	if (f->phase != FILING_STARTING) {
+		filing_schedule_op(l, f, FILING_OP_WRITE, ledger_retry_at(l));
 		return;
 	}
-	answer_start(l, f, FG_NOT_RUN, FG_R_LEDGER_DOWN,
-		     l->conf.record_retry_ms);
+	answer_undispatched(l, f, FG_NOT_RUN, FG_R_LEDGER_DOWN,
+			    l->conf.record_retry_ms);
 	f->reason = FG_R_LEDGER_DOWN;
-	abandon(l, f, ledger_retry_at(l));
+	abandon_start(l, f, ledger_retry_at(l));
 }
 
-void filing_write_lost(struct fg_ledger *l, struct filing *f)
+void filing_handle_write_lost(struct fg_ledger *l, struct filing *f)
 {
-	if (f->phase != FILING_START) {
-		/* The same write again: if the lost one was stored, this one
-		 * conflicts and finds our nonce in its way. */
-		filing_want(l, f, WANT_WRITE, ledger_retry_at(l));
+	if (f->phase != FILING_STARTING) {
+		/* Repeat the write. If the lost one was stored, the repeat
+		 * conflicts with a row that carries our nonce. */
+		filing_schedule_op(l, f, FILING_OP_WRITE, ledger_retry_at(l));
 		return;
 	}
-	f->may_exist = true;
+	f->row_may_exist = true;
 	if (f->answered)
-		abandon(l, f, ledger_retry_at(l));
+		abandon_start(l, f, ledger_retry_at(l));
 	else
-		filing_want(l, f, WANT_READ, l->now);
+		filing_schedule_op(l, f, FILING_OP_READ, l->now);
 }
 
-void filing_read_failed(struct fg_ledger *l, struct filing *f,
-			enum fg_pf_result result)
+void filing_handle_read_failure(struct fg_ledger *l, struct filing *f,
+				enum fg_pf_result result)
 {
-	if (f->phase != FILING_START) {
-		filing_want(l, f, WANT_READ, ledger_retry_at(l));
+	if (f->phase != FILING_STARTING) {
+		filing_schedule_op(l, f, FILING_OP_READ, ledger_retry_at(l));
 		return;
 	}
 	if (result == FG_PF_DOWN)
-		answer_start(l, f, FG_NOT_RUN, FG_R_LEDGER_DOWN,
-			     l->conf.record_retry_ms);
+		answer_undispatched(l, f, FG_NOT_RUN, FG_R_LEDGER_DOWN,
+				    l->conf.record_retry_ms);
 	if (f->answered)
-		abandon(l, f, ledger_retry_at(l));
+		abandon_start(l, f, ledger_retry_at(l));
 	else
-		filing_want(l, f, WANT_READ, l->now + READ_RETRY_MS);
+		filing_schedule_op(l, f, FILING_OP_READ,
+				   l->now + READ_RETRY_MS);
 }
 
-/* ---- What the row says ---- */
+/* ---- Contents of the row ---- */
 
-struct seen {
+struct seen_row {
 	bool absent;
 	uint64_t row_version;
-	enum fg_lrow_read read;
+	enum fg_lrow_read decode_result;
 	struct fg_lrow row;
 };
 
-static bool is_ours(const struct filing *f, const struct seen *s)
+static bool has_own_nonce(const struct filing *f, const struct seen_row *s)
 {
-	return !s->absent && s->read == FG_LROW_OK && s->row.nonce == f->nonce;
+	return !s->absent && s->decode_result == FG_LROW_OK &&
+	       s->row.nonce == f->nonce;
 }
 
-static void write_over(struct fg_ledger *l, struct filing *f,
-		       const struct seen *s)
+static void overwrite_row(struct fg_ledger *l, struct filing *f,
+			  const struct seen_row *s)
 {
-	f->expect = s->absent ? 0 : s->row_version;
-	f->expect_known = true;
-	filing_want(l, f, WANT_WRITE, l->now);
+	f->expected_version = s->absent ? 0 : s->row_version;
+	f->has_expected_version = true;
+	filing_schedule_op(l, f, FILING_OP_WRITE, l->now);
 }
 
 static enum fg_outcome outcome_of_state(enum fg_lrow_state state)
@@ -228,29 +234,31 @@
 	}
 }
 
-/* Somebody else's start, not ended as far as the row says. A dead instance
- * cannot end it any more; one that is only paused may still record it, which
- * a later repeat of the key then finds. */
-static void answer_started(struct fg_ledger *l, struct filing *f, uint64_t by)
+/* Answers from a row that another start left in state started. A dead instance
+ * cannot finish the filing. An instance that was only paused may still record
+ * the outcome, which a later repeat of the key then finds. */
+static void answer_from_started_row(struct fg_ledger *l, struct filing *f,
+				    uint64_t by)
 {
 	bool dead = l->is_dead != NULL && l->is_dead(l->dead_arg, by);
 
 	if (dead || by == l->conf.self)
-		answer_start(l, f, FG_UNKNOWN, FG_R_ENDPOINT_LOST, 0);
+		answer_undispatched(l, f, FG_UNKNOWN, FG_R_ENDPOINT_LOST, 0);
 	else
-		answer_start(l, f, FG_UNKNOWN, FG_R_IN_PROGRESS, ASK_AGAIN_MS);
+		answer_undispatched(l, f, FG_UNKNOWN, FG_R_IN_PROGRESS,
+				    IN_PROGRESS_RETRY_MS);
 }
 
-/* Another start holds the key for good. */
+/* Answers from a row that belongs to another start and cannot be replaced. */
 static void answer_from_row(struct fg_ledger *l, struct filing *f,
 			    const struct fg_lrow *row)
 {
-	if (row->body != f->body) {
-		answer_start(l, f, FG_NOT_RUN, FG_R_KEY_REUSED, 0);
+	if (row->body != f->body_hash) {
+		answer_undispatched(l, f, FG_NOT_RUN, FG_R_KEY_REUSED, 0);
 		return;
 	}
 	if (row->state == FG_LROW_STARTED) {
-		answer_started(l, f, row->by);
+		answer_from_started_row(l, f, row->by);
 		return;
 	}
 	ledger_answer(l, f->id, outcome_of_state(row->state), row->reason,
@@ -258,93 +266,97 @@
 	f->answered = true;
 }
 
-static void start_saw(struct fg_ledger *l, struct filing *f,
-		      const struct seen *s)
+static void handle_row_starting(struct fg_ledger *l, struct filing *f,
+				const struct seen_row *s)
 {
-	if (is_ours(f, s) && s->row.state == FG_LROW_STARTED) {
-		f->may_exist = true;
-		f->expect = s->row_version;
-		f->expect_known = true;
-		filing_confirm(l, f);
+	if (has_own_nonce(f, s) && s->row.state == FG_LROW_STARTED) {
+		f->row_may_exist = true;
+		f->expected_version = s->row_version;
+		f->has_expected_version = true;
+		filing_dispatch(l, f);
 		return;
 	}
 	if (f->answered) {
-		abandon(l, f, l->now);
+		abandon_start(l, f, l->now);
 		return;
 	}
 	if (s->absent) {
-		/* The lost insert may still be on its way: the same nonce
-		 * makes it and this one the same start. */
-		write_over(l, f, s);
+		/* The lost insert may still arrive. The nonce is the same, so
+		 * both inserts are the same start. */
+		overwrite_row(l, f, s);
 		return;
 	}
-	if (s->read != FG_LROW_OK) {
-		/* Only a later release can tell how this key ended. */
-		answer_start(l, f, FG_UNKNOWN, FG_R_LEDGER_DOWN, 0);
-		filing_drop(l, f);
+	if (s->decode_result != FG_LROW_OK) {
+		/* Only a later release can read how this filing ended. */
+		answer_undispatched(l, f, FG_UNKNOWN, FG_R_LEDGER_DOWN, 0);
+		filing_remove(l, f);
 		return;
 	}
-	if (s->row.state == FG_LROW_NOT_RUN && s->row.body == f->body) {
-		write_over(l, f, s);
+	if (s->row.state == FG_LROW_NOT_RUN && s->row.body == f->body_hash) {
+		overwrite_row(l, f, s);
 		return;
 	}
 	answer_from_row(l, f, &s->row);
-	filing_drop(l, f);
+	filing_remove(l, f);
 }
 
-static void record_saw(struct fg_ledger *l, struct filing *f,
-		       const struct seen *s)
+static void handle_row_recording(struct fg_ledger *l, struct filing *f,
+				 const struct seen_row *s)
 {
-	bool started = is_ours(f, s) && s->row.state == FG_LROW_STARTED;
+	bool is_own_start =
+		has_own_nonce(f, s) && s->row.state == FG_LROW_STARTED;
 
-	if (s->absent || started)
-		write_over(l, f, s);
+	if (s->absent || is_own_start)
+		overwrite_row(l, f, s);
 	else
-		filing_settled(l, f);
+		filing_settle(l, f);
 }
 
-static void undo_saw(struct fg_ledger *l, struct filing *f,
-		     const struct seen *s)
+static void handle_row_undoing(struct fg_ledger *l, struct filing *f,
+			       const struct seen_row *s)
 {
 	uint64_t version = s->absent ? 0 : s->row_version;
-	bool started = is_ours(f, s) && s->row.state == FG_LROW_STARTED;
-	bool unmoved = f->expect_known && version == f->expect;
-
-	/* Unmoved: a delayed insert of ours could still be stored, so the row
-	 * must be written once even though it does not name us. */
-	if (started || unmoved)
-		write_over(l, f, s);
+	bool is_own_start =
+		has_own_nonce(f, s) && s->row.state == FG_LROW_STARTED;
+	bool is_unchanged =
+		f->has_expected_version && version == f->expected_version;
+
+	/* While the version is unchanged, a delayed insert of ours could still
+	 * be stored. One write voids it, even if the row is not ours. */
+	if (is_own_start || is_unchanged)
+		overwrite_row(l, f, s);
 	else
-		filing_settled(l, f);
+		filing_settle(l, f);
 }
 
-void filing_saw(struct fg_ledger *l, struct filing *f, const struct fg_row *row)
+void filing_handle_row(struct fg_ledger *l, struct filing *f,
+		       const struct fg_row *row)
 {
-	struct seen s = { .absent = row == NULL || row->value == NULL };
+	struct seen_row s = { .absent = row == NULL || row->value == NULL };
 
 	if (!s.absent) {
 		s.row_version = row->row_version;
-		s.read = fg_lrow_decode(row->value, &s.row);
+		s.decode_result = fg_lrow_decode(row->value, &s.row);
 	}
-	if (f->phase == FILING_START)
-		start_saw(l, f, &s);
-	else if (f->phase == FILING_RECORD)
-		record_saw(l, f, &s);
+	if (f->phase == FILING_STARTING)
+		handle_row_starting(l, f, &s);
+	else if (f->phase == FILING_RECORDING)
+		handle_row_recording(l, f, &s);
 	else
-		undo_saw(l, f, &s);
+		handle_row_undoing(l, f, &s);
 	g_free(s.row.text);
 }
 
-char *filing_value(const struct fg_ledger *l, const struct filing *f)
+char *filing_encode_row(const struct fg_ledger *l, const struct filing *f)
 {
 	struct fg_lrow row = {
-		.state = f->phase == FILING_START
+		.state = f->phase == FILING_STARTING
 				 ? FG_LROW_STARTED
-				 : fg_lrow_of_outcome(f->outcome),
+				 : fg_lrow_state_from_outcome(f->outcome),
 		.nonce = f->nonce,
-		.body = f->body,
+		.body = f->body_hash,
 		.by = l->conf.self,
-		.at = ledger_wall(l),
+		.at = ledger_wall_now(l),
 		.reason = f->reason,
 		.text = f->text,
 	};
--- a/lib/ledger/fg_ledger_row.c
+++ b/lib/ledger/fg_ledger_row.c
@@ -2,7 +2,7 @@
  * Row codec of the ledger.
  *
  * 64-bit numbers are hex strings, since JSON integers are signed. A text that
- * is not valid UTF-8 is kept in base64, so that a replay is byte for byte.
+ * is not valid UTF-8 is stored in base64, so that a replay is byte-identical.
  */
 #include "ledger/fg_ledger_internal.h"
 
@@ -20,7 +20,7 @@
 	[FG_LROW_NOT_RUN] = "not_run",
 };
 
-enum fg_lrow_state fg_lrow_of_outcome(enum fg_outcome outcome)
+enum fg_lrow_state fg_lrow_state_from_outcome(enum fg_outcome outcome)
 {
 	switch (outcome) {
 	case FG_DONE:
@@ -106,7 +106,7 @@
 	return false;
 }
 
-/* A code of a later release reads as FG_R_NONE. */
+/* A reason code of a later release becomes FG_R_NONE. */
 static enum fg_reason get_reason(const json_t *obj)
 {
 	const char *s = json_string_value(json_object_get(obj, "reason"));
--- a/tests/unit/ledger_model.c
+++ b/tests/unit/ledger_model.c
@@ -3,12 +3,12 @@
 #include <stdio.h>
 #include <string.h>
 
-#define LATE_MAX_MS 2000
+#define DELAY_MAX_MS 2000
 #define STEP_MAX_MS 6
 
 enum event_kind {
 	EV_APPLY,  /* an operation reaches the table */
-	EV_RESULT, /* its answer reaches the instance */
+	EV_RESULT, /* the result reaches the instance */
 	EV_OUTCOME
 };
 
@@ -29,7 +29,7 @@
 	fg_ms paused_until;
 };
 
-struct stored {
+struct stored_row {
 	uint64_t row_version;
 	char *value;
 };
@@ -39,7 +39,7 @@
 	struct fg_rand rand;
 	fg_ms now;
 	struct model_faults faults;
-	bool faulty;
+	bool faults_enabled;
 	uint32_t n;
 	struct instance inst[MODEL_INSTANCES];
 	GHashTable *table;
@@ -60,9 +60,9 @@
 				(m)->seed);                                    \
 	} while (0)
 
-static bool chance(struct model *m, uint32_t of_1000)
+static bool draw_fault(struct model *m, uint32_t of_1000)
 {
-	return m->faulty && fg_rand_below(&m->rand, 1000) < of_1000;
+	return m->faults_enabled && fg_rand_below(&m->rand, 1000) < of_1000;
 }
 
 static struct model_filing *filing(const struct model *m, uint64_t id)
@@ -77,12 +77,12 @@
 
 /* ---- Table ---- */
 
-static struct stored *stored_of(struct model *m, const char *key)
+static struct stored_row *find_or_add_row(struct model *m, const char *key)
 {
-	struct stored *s = g_hash_table_lookup(m->table, key);
+	struct stored_row *s = g_hash_table_lookup(m->table, key);
 
 	if (s == NULL) {
-		s = g_new0(struct stored, 1);
+		s = g_new0(struct stored_row, 1);
 		g_hash_table_insert(m->table, g_strdup(key), s);
 	}
 	return s;
@@ -95,7 +95,7 @@
 
 	for (size_t i = 0; i < op->n_writes; i++) {
 		const struct fg_write *w = &op->writes[i];
-		struct stored *s = stored_of(m, w->key);
+		struct stored_row *s = find_or_add_row(m, w->key);
 		uint64_t has = s->value != NULL ? s->row_version : 0;
 
 		MODEL_ASSERT(m, w->expect_version != FG_ANY_VERSION);
@@ -108,7 +108,7 @@
 	res = fg_table_result_new(op->id, op->kind, FG_PF_OK);
 	for (size_t i = 0; i < op->n_writes; i++) {
 		const struct fg_write *w = &op->writes[i];
-		struct stored *s = stored_of(m, w->key);
+		struct stored_row *s = find_or_add_row(m, w->key);
 
 		s->row_version++;
 		g_free(s->value);
@@ -119,8 +119,8 @@
 	return res;
 }
 
-static struct fg_table_result *apply(struct model *m,
-				     const struct fg_table_op *op)
+static struct fg_table_result *apply_op(struct model *m,
+					const struct fg_table_op *op)
 {
 	struct fg_table_result *res;
 	GHashTableIter iter;
@@ -131,12 +131,12 @@
 	res = fg_table_result_new(op->id, op->kind, FG_PF_OK);
 	g_hash_table_iter_init(&iter, m->table);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		const struct stored *s = value;
-		bool hit = op->kind == FG_OP_GET
-				   ? strcmp(key, op->key) == 0
-				   : g_str_has_prefix(key, op->key);
+		const struct stored_row *s = value;
+		bool matches = op->kind == FG_OP_GET
+				       ? strcmp(key, op->key) == 0
+				       : g_str_has_prefix(key, op->key);
 
-		if (hit && s->value != NULL)
+		if (matches && s->value != NULL)
 			fg_table_result_row(res, key, s->row_version, s->value);
 	}
 	if (op->kind == FG_OP_GET && res->n_rows == 0)
@@ -144,34 +144,35 @@
 	return res;
 }
 
-static void push(struct model *m, struct event ev, fg_ms delay_ms)
+static void schedule_event(struct model *m, struct event ev, fg_ms delay_ms)
 {
 	ev.at = m->now + delay_ms;
 	g_array_append_val(m->events, ev);
 }
 
-static void push_failure(struct model *m, uint32_t inst,
-			 const struct fg_table_op *op, enum fg_pf_result result)
+static void schedule_failure(struct model *m, uint32_t inst,
+			     const struct fg_table_op *op,
+			     enum fg_pf_result result)
 {
 	struct event ev = { .kind = EV_RESULT, .inst = inst };
 
 	ev.res = fg_table_result_new(op->id, op->kind, result);
-	push(m, ev, 1 + fg_rand_below(&m->rand, 40));
+	schedule_event(m, ev, 1 + fg_rand_below(&m->rand, 40));
 }
 
-static void lose(struct model *m, uint32_t inst, struct fg_table_op *op,
-		 fg_ms effect_ms)
+static void lose_answer(struct model *m, uint32_t inst, struct fg_table_op *op,
+			fg_ms effect_ms)
 {
 	struct event ev = { .kind = EV_APPLY, .inst = inst, .op = op };
 
-	push_failure(m, inst, op, FG_PF_LOST);
+	schedule_failure(m, inst, op, FG_PF_LOST);
 	if (effect_ms < 0)
 		fg_table_op_free(op);
 	else
-		push(m, ev, effect_ms);
+		schedule_event(m, ev, effect_ms);
 }
 
-static void on_op(struct model *m, uint32_t inst, struct fg_table_op *op)
+static void handle_op(struct model *m, uint32_t inst, struct fg_table_op *op)
 {
 	struct event ev = { .kind = EV_APPLY, .inst = inst, .op = op };
 
@@ -179,24 +180,24 @@
 	ev.answer = true;
 	if (m->lose_next) {
 		m->lose_next = false;
-		lose(m, inst, op, m->effect_ms);
+		lose_answer(m, inst, op, m->effect_ms);
 	} else if (m->now < m->outage_until) {
-		push_failure(m, inst, op, FG_PF_DOWN);
+		schedule_failure(m, inst, op, FG_PF_DOWN);
 		fg_table_op_free(op);
-	} else if (chance(m, m->faults.lost_unsent)) {
-		lose(m, inst, op, -1);
-	} else if (chance(m, m->faults.lost_stored)) {
-		lose(m, inst, op, 1);
-	} else if (chance(m, m->faults.late)) {
-		lose(m, inst, op, fg_rand_below(&m->rand, LATE_MAX_MS));
+	} else if (draw_fault(m, m->faults.request_lost)) {
+		lose_answer(m, inst, op, -1);
+	} else if (draw_fault(m, m->faults.answer_lost)) {
+		lose_answer(m, inst, op, 1);
+	} else if (draw_fault(m, m->faults.delayed)) {
+		lose_answer(m, inst, op, fg_rand_below(&m->rand, DELAY_MAX_MS));
 	} else {
-		push(m, ev, 1 + fg_rand_below(&m->rand, 10));
+		schedule_event(m, ev, 1 + fg_rand_below(&m->rand, 10));
 	}
 }
 
-/* ---- What must hold ---- */
+/* ---- Invariants ---- */
 
-static void on_dispatch(struct model *m, uint64_t id)
+static void handle_dispatch(struct model *m, uint64_t id)
 {
 	struct model_filing *f = filing(m, id);
 	struct event ev = { .kind = EV_OUTCOME, .inst = f->inst, .id = id };
@@ -209,11 +210,11 @@
 			MODEL_ASSERT(m, o->ended && o->outcome == FG_NOT_RUN);
 	}
 	f->dispatched = true;
-	push(m, ev, fg_rand_below(&m->rand, 200));
+	schedule_event(m, ev, fg_rand_below(&m->rand, 200));
 }
 
-/* The dispatch of this key that ran or may have run; at most one. */
-static const struct model_filing *ran(const struct model *m, uint32_t key)
+/* Returns the only dispatch of a key that ran or may have run, or NULL. */
+static const struct model_filing *find_run(const struct model *m, uint32_t key)
 {
 	for (uint64_t id = 1; id <= m->filings->len; id++) {
 		const struct model_filing *f = filing(m, id);
@@ -228,7 +229,7 @@
 static void check_replay(struct model *m, const struct model_filing *f,
 			 const struct fg_ledger_act *act)
 {
-	const struct model_filing *first = ran(m, f->key);
+	const struct model_filing *first = find_run(m, f->key);
 
 	MODEL_ASSERT(m, first != NULL && first->ended);
 	MODEL_ASSERT(m, first->body == f->body);
@@ -237,7 +238,7 @@
 		MODEL_ASSERT(m, g_strcmp0(act->text, first->text) == 0);
 }
 
-static void on_answer(struct model *m, const struct fg_ledger_act *act)
+static void handle_answer(struct model *m, const struct fg_ledger_act *act)
 {
 	struct model_filing *f = filing(m, act->id);
 
@@ -252,7 +253,7 @@
 	if (act->reason == FG_R_IN_PROGRESS)
 		MODEL_ASSERT(m, act->outcome == FG_UNKNOWN);
 	f->answered = true;
-	f->told = act->outcome;
+	f->answered_outcome = act->outcome;
 	f->reason = act->reason;
 	f->replayed = act->replayed;
 }
@@ -264,13 +265,13 @@
 
 	switch (act->type) {
 	case FG_LA_TABLE:
-		on_op(m, inst->index, act->op);
+		handle_op(m, inst->index, act->op);
 		break;
 	case FG_LA_DISPATCH:
-		on_dispatch(m, act->id);
+		handle_dispatch(m, act->id);
 		break;
 	case FG_LA_ANSWER:
-		on_answer(m, act);
+		handle_answer(m, act);
 		break;
 	case FG_LA_RECORDED:
 		MODEL_ASSERT(m, filing(m, act->id)->answered);
@@ -281,7 +282,7 @@
 
 /* ---- Instances ---- */
 
-/* A paused instance is taken for dead half of the time. */
+/* A paused instance is reported dead with a probability of one half. */
 static bool is_dead(void *arg, uint64_t inst)
 {
 	struct model *m = arg;
@@ -336,7 +337,7 @@
 	}
 	g_hash_table_iter_init(&iter, m->table);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		g_free(((struct stored *)value)->value);
+		g_free(((struct stored_row *)value)->value);
 		g_free(value);
 	}
 	g_hash_table_destroy(m->table);
@@ -371,22 +372,23 @@
 		f->outcome == FG_DONE ? f->text : NULL, emit, inst);
 }
 
-static void handle(struct model *m, struct event *ev)
+static void handle_event(struct model *m, struct event *ev)
 {
 	struct instance *inst = &m->inst[ev->inst];
 	struct event next = { .kind = EV_RESULT, .inst = ev->inst };
 
 	if (ev->kind == EV_APPLY) {
-		next.res = apply(m, ev->op);
+		next.res = apply_op(m, ev->op);
 		if (ev->answer)
-			push(m, next, 1 + fg_rand_below(&m->rand, 10));
+			schedule_event(m, next,
+				       1 + fg_rand_below(&m->rand, 10));
 		else
 			fg_table_result_free(next.res);
 		fg_table_op_free(ev->op);
 		return;
 	}
 	if (inst->ledger != NULL && m->now < inst->paused_until) {
-		push(m, *ev, inst->paused_until - m->now);
+		schedule_event(m, *ev, inst->paused_until - m->now);
 		return;
 	}
 	if (inst->ledger != NULL && ev->kind == EV_RESULT)
@@ -397,7 +399,7 @@
 	fg_table_result_free(ev->res);
 }
 
-static void handle_due(struct model *m)
+static void handle_due_events(struct model *m)
 {
 	for (guint i = 0; i < m->events->len;) {
 		struct event ev = g_array_index(m->events, struct event, i);
@@ -407,7 +409,7 @@
 			continue;
 		}
 		g_array_remove_index_fast(m->events, i);
-		handle(m, &ev);
+		handle_event(m, &ev);
 	}
 }
 
@@ -415,11 +417,11 @@
 {
 	uint32_t i = fg_rand_below(&m->rand, m->n);
 
-	if (chance(m, m->faults.pause))
+	if (draw_fault(m, m->faults.pause))
 		model_pause(m, i, fg_rand_below(&m->rand, 800));
-	if (chance(m, m->faults.outage))
+	if (draw_fault(m, m->faults.outage))
 		model_outage(m, fg_rand_below(&m->rand, 600));
-	if (chance(m, m->faults.death) && i > 0)
+	if (draw_fault(m, m->faults.death) && i > 0)
 		model_kill(m, i);
 }
 
@@ -427,11 +429,11 @@
 {
 	fg_ms end = m->now + ms;
 
-	m->faulty = faults;
+	m->faults_enabled = faults;
 	while (m->now < end) {
 		m->now += 1 + fg_rand_below(&m->rand, STEP_MAX_MS);
 		draw_faults(m);
-		handle_due(m);
+		handle_due_events(m);
 		for (uint32_t i = 0; i < m->n; i++) {
 			struct instance *in = &m->inst[i];
 
@@ -439,7 +441,7 @@
 				fg_ledger_tick(in->ledger, m->now, emit, in);
 		}
 	}
-	m->faulty = false;
+	m->faults_enabled = false;
 }
 
 void model_set_outcome(struct model *m, enum fg_outcome outcome)
@@ -447,7 +449,7 @@
 	m->outcome = outcome;
 }
 
-void model_lose_next(struct model *m, fg_ms effect_ms)
+void model_lose_next_op(struct model *m, fg_ms effect_ms)
 {
 	m->lose_next = true;
 	m->effect_ms = effect_ms;
@@ -506,36 +508,39 @@
 
 	snprintf(name, sizeof(name), "key-%u", key);
 	fg_ledger_row_key("caller", name, row_key);
-	return stored_of(m, row_key)->value;
+	return find_or_add_row(m, row_key)->value;
 }
 
 /* ---- Interleavings ---- */
 
-/* After all faults: every key ends as its dispatches say, and one that never
- * ran can be started again. */
+/* Checks a key after all faults: a repeat gets the outcome of the run, and a
+ * key without a run can be started again. */
 static void check_key_settled(struct model *m, uint32_t key)
 {
-	const struct model_filing *held = ran(m, key);
-	bool any = held != NULL;
+	const struct model_filing *run = find_run(m, key);
+	bool has_run = run != NULL;
 	struct model_filing first = { 0 };
 	const struct model_filing *f;
 	uint64_t id;
 
-	if (any)
-		first = *held; /* starting one more may move the filings */
+	if (has_run)
+		first = *run; /* model_start() may move the array */
 	id = model_start(m, 0, key, 7);
 	model_set_outcome(m, FG_DONE);
 	model_run(m, 3000, false);
 	f = filing(m, id);
 	MODEL_ASSERT(m, f->answered);
-	if (!any)
+	if (!has_run)
 		MODEL_ASSERT(m, f->dispatched || m->any_dead);
 	else if (first.recorded)
-		MODEL_ASSERT(m, f->replayed && f->told == first.outcome);
-	else if (f->replayed) /* stored, and died before it learned so */
-		MODEL_ASSERT(m, m->any_dead && f->told == first.outcome);
+		MODEL_ASSERT(m, f->replayed &&
+					f->answered_outcome == first.outcome);
+	else if (f->replayed) /* stored, and the instance died at once */
+		MODEL_ASSERT(m, m->any_dead &&
+					f->answered_outcome == first.outcome);
 	else
-		MODEL_ASSERT(m, m->any_dead && f->told == FG_UNKNOWN);
+		MODEL_ASSERT(m,
+			     m->any_dead && f->answered_outcome == FG_UNKNOWN);
 }
 
 void model_interleaving(uint64_t seed, const struct model_faults *faults)
