--- a/lib/place/fg_broker.c
+++ b/lib/place/fg_broker.c
@@ -1,4 +1,4 @@
-/* The broker's state: needs, replies and estimates; see fg_broker_tick.c. */
+/* Broker: needs, replies to load orders, and what the policies read. */
 #include "place/fg_place_priv.h"
 
 #include <assert.h>
@@ -6,14 +6,20 @@
 #include <string.h>
 
 #define HEAT_HALF_LIFE_MS 300000
-#define PROTECT_MS 1000 /* a new adapter is kept for those who waited */
-#define PINNED_MS 300	/* a victim found in use is not tried again before */
-#define AVOID_MS 1000	/* an endpoint that refused is not tried again before */
-#define BACKOFF_MS 250	/* after a failure; doubles */
+/* A loaded adapter is not evicted for this long, so that the requests that
+ * waited for the load can use it. */
+#define NEW_ADAPTER_KEEP_MS 1000
+/* Time before a victim that its owner found in use, or the endpoint that
+ * refused the order, is tried again. */
+#define REFUSED_RETRY_MS 300
+/* Added to the backoff before an endpoint whose load failed is tried again. */
+#define FAILED_EP_RETRY_MS 1000
+#define BACKOFF_MS 250 /* after the first failure; doubles with each one */
 #define BACKOFF_MAX_MS 4000
-#define WAIT_MAX_MS 40000 /* for a load, with a low weight of stalls */
-#define HOLD_WAITING 8	  /* drafts of one router that are held no longer */
-#define LOADS_WAITED 8	  /* a wait of so many loads is no reason to refuse */
+/* Bounds the wait above a stall weight of 50, scaled by 100 - weight. */
+#define MAX_WAIT_MS 40000
+#define HOLD_MAX_WAITING 8 /* this many drafts of a router are not held */
+#define MIN_WAIT_LOADS 8   /* a need may always wait for this many loads */
 
 struct fg_broker *fg_broker_new(const struct fg_broker_conf *conf,
 				const struct fg_dir *dir, const char *policy,
@@ -29,22 +35,22 @@
 	b->heat = fg_heat_new(HEAT_HALF_LIFE_MS);
 	b->service = fg_hash_str(conf->service);
 	b->region = fg_hash_str(conf->region);
-	b->wants = g_hash_table_new(fg_key_hash, g_int64_equal);
+	b->demands = g_hash_table_new(fg_key_hash, g_int64_equal);
 	b->loads =
 		g_hash_table_new_full(fg_key_hash, g_int64_equal, NULL, g_free);
-	b->marks =
+	b->victim_cooldowns =
 		g_hash_table_new_full(fg_key_hash, g_int64_equal, NULL, g_free);
-	b->replicated =
+	b->copy_cooldowns =
 		g_hash_table_new_full(fg_key_hash, g_int64_equal, NULL, g_free);
-	b->tokens = 1;
-	b->refilled = FG_MS_NEVER;
+	b->load_tokens = 1;
+	b->refilled_at = FG_MS_NEVER;
 	return b;
 }
 
-static void want_free(struct fg_want *w)
+static void free_demand(struct fg_demand *demand)
 {
-	g_array_free(w->asks, TRUE);
-	g_free(w);
+	g_array_free(demand->needs, TRUE);
+	g_free(demand);
 }
 
 void fg_broker_free(struct fg_broker *b)
@@ -54,13 +60,13 @@
 
 	if (b == NULL)
 		return;
-	g_hash_table_iter_init(&it, b->wants);
+	g_hash_table_iter_init(&it, b->demands);
 	while (g_hash_table_iter_next(&it, NULL, &value))
-		want_free(value);
-	g_hash_table_destroy(b->wants);
+		free_demand(value);
+	g_hash_table_destroy(b->demands);
 	g_hash_table_destroy(b->loads);
-	g_hash_table_destroy(b->marks);
-	g_hash_table_destroy(b->replicated);
+	g_hash_table_destroy(b->victim_cooldowns);
+	g_hash_table_destroy(b->copy_cooldowns);
 	fg_heat_free(b->heat);
 	g_free(b);
 }
@@ -82,97 +88,101 @@
 
 /* ---- Needs ---- */
 
-const struct fg_want *fg_broker_want(const struct fg_broker *b, fg_av av)
+const struct fg_demand *fg_broker_find_demand(const struct fg_broker *b,
+					      fg_av av)
 {
 	uint64_t key = fg_av_key(av);
 
-	return g_hash_table_lookup(b->wants, &key);
+	return g_hash_table_lookup(b->demands, &key);
 }
 
-static void drop_want(struct fg_broker *b, struct fg_want *w)
+static void remove_demand(struct fg_broker *b, struct fg_demand *demand)
 {
-	g_hash_table_remove(b->wants, &w->key);
-	want_free(w);
+	g_hash_table_remove(b->demands, &demand->key);
+	free_demand(demand);
 }
 
-static void tighten(struct fg_want_terms *sum, const struct fg_want_terms *t)
+static void merge_terms(struct fg_need_terms *total,
+			const struct fg_need_terms *terms)
 {
-	sum->waiting += t->waiting;
-	sum->cls = MIN(sum->cls, t->cls);
-	sum->deadline = MIN(sum->deadline, t->deadline);
-	sum->due = MIN(sum->due, t->due);
-	sum->hold_until = MIN(sum->hold_until, t->hold_until);
+	total->waiting += terms->waiting;
+	total->cls = MIN(total->cls, terms->cls);
+	total->deadline = MIN(total->deadline, terms->deadline);
+	total->due = MIN(total->due, terms->due);
+	total->hold_until = MIN(total->hold_until, terms->hold_until);
 }
 
-void fg_broker_settle(struct fg_broker *b, struct fg_want *w)
+void fg_broker_update_demand(struct fg_broker *b, struct fg_demand *demand)
 {
-	if (w->asks->len == 0) {
-		drop_want(b, w);
+	if (demand->needs->len == 0) {
+		remove_demand(b, demand);
 		return;
 	}
-	w->admitted = false;
-	w->terms = (struct fg_want_terms){ 0, FG_CLASS_COUNT, FG_MS_NEVER,
-					   FG_MS_NEVER, FG_MS_NEVER };
-	for (guint i = 0; i < w->asks->len; i++) {
-		const struct fg_want_ask *a =
-			&g_array_index(w->asks, struct fg_want_ask, i);
-
-		if (a->admitted)
-			tighten(&w->terms, &a->terms);
-		else if (a->before.waiting > 0)
-			tighten(&w->terms, &a->before);
-		w->admitted =
-			w->admitted || a->admitted || a->before.waiting > 0;
+	demand->admitted = false;
+	demand->terms = (struct fg_need_terms){ 0, FG_CLASS_COUNT, FG_MS_NEVER,
+						FG_MS_NEVER, FG_MS_NEVER };
+	for (guint i = 0; i < demand->needs->len; i++) {
+		const struct fg_router_need *need =
+			&g_array_index(demand->needs, struct fg_router_need, i);
+
+		if (need->admitted)
+			merge_terms(&demand->terms, &need->terms);
+		else if (need->prev_admitted.waiting > 0)
+			merge_terms(&demand->terms, &need->prev_admitted);
+		demand->admitted = demand->admitted || need->admitted ||
+				   need->prev_admitted.waiting > 0;
 	}
 }
 
-/* Copies the ask to *old when that is not NULL. */
-static bool remove_ask(struct fg_want *w, uint64_t from,
-		       struct fg_want_ask *old)
+/* Copies the removed need to *old unless old is NULL. */
+static bool remove_need(struct fg_demand *demand, uint64_t router,
+			struct fg_router_need *old)
 {
-	for (guint i = 0; i < w->asks->len; i++) {
-		const struct fg_want_ask *a =
-			&g_array_index(w->asks, struct fg_want_ask, i);
+	for (guint i = 0; i < demand->needs->len; i++) {
+		const struct fg_router_need *need =
+			&g_array_index(demand->needs, struct fg_router_need, i);
 
-		if (a->from != from)
+		if (need->router != router)
 			continue;
 		if (old != NULL)
-			*old = *a;
-		g_array_remove_index_fast(w->asks, i);
+			*old = *need;
+		g_array_remove_index_fast(demand->needs, i);
 		return true;
 	}
 	return false;
 }
 
-static struct fg_want *find_or_add(struct fg_broker *b, fg_ms now, fg_av av)
+static struct fg_demand *find_or_add_demand(struct fg_broker *b, fg_ms now,
+					    fg_av av)
 {
 	uint64_t key = fg_av_key(av);
-	struct fg_want *w = g_hash_table_lookup(b->wants, &key);
+	struct fg_demand *demand = g_hash_table_lookup(b->demands, &key);
 
-	if (w != NULL)
-		return w;
-	w = g_new0(struct fg_want, 1);
-	w->key = key;
-	w->av = av;
-	w->asks = g_array_new(FALSE, FALSE, sizeof(struct fg_want_ask));
-	w->first_at = now;
-	g_hash_table_insert(b->wants, &w->key, w);
-	return w;
+	if (demand != NULL)
+		return demand;
+	demand = g_new0(struct fg_demand, 1);
+	demand->key = key;
+	demand->av = av;
+	demand->needs =
+		g_array_new(FALSE, FALSE, sizeof(struct fg_router_need));
+	demand->first_need_at = now;
+	g_hash_table_insert(b->demands, &demand->key, demand);
+	return demand;
 }
 
-/* The more stalls weigh, the less of the slack is used up by waiting. */
-static fg_ms due_in(const struct fg_broker *b, uint32_t slack_ms)
+/* A higher stall weight leaves less of the slack for waiting. */
+static fg_ms compute_due_ms(const struct fg_broker *b, uint32_t slack_ms)
 {
-	uint32_t patience = 100 - MIN(b->conf.stall_weight, 100);
-	fg_ms wait = (fg_ms)slack_ms * patience / 100;
-	fg_ms least = (fg_ms)b->conf.load_ms * LOADS_WAITED;
+	uint32_t batch_weight = 100 - MIN(b->conf.stall_weight, 100);
+	fg_ms wait = (fg_ms)slack_ms * batch_weight / 100;
+	fg_ms least = (fg_ms)b->conf.load_ms * MIN_WAIT_LOADS;
 
-	if (patience < 50)
-		wait = MIN(wait, (fg_ms)WAIT_MAX_MS * patience / 100);
+	if (batch_weight < 50)
+		wait = MIN(wait, (fg_ms)MAX_WAIT_MS * batch_weight / 100);
 	return MIN(MAX(wait, least), (fg_ms)slack_ms);
 }
 
-static fg_ms hold_for(const struct fg_broker *b, const fg_need *need)
+static fg_ms compute_hold_ms(const struct fg_broker *b, const fg_need *need)
 {
 	struct fg_preset preset = { .stall_weight = b->conf.stall_weight,
 				    .hold_max_ms = b->hold_max_ms };
@@ -180,70 +190,73 @@
 	if (need->cls != FG_CLASS_DRAFT)
 		return 0;
 	return fg_hold_ms(&preset, need->slack_ms, 0, b->conf.load_ms,
-			  need->waiting, HOLD_WAITING, false);
+			  need->waiting, HOLD_MAX_WAITING, false);
 }
 
 /*
- * A router's new terms take the place of its old ones. Those who waited before
- * keep their due time. Terms that are not tighter than what was admitted are
- * admitted with it; tighter ones are judged anew, and when they are refused
- * the old ones hold again.
+ * Carries the admission of a router's old need over to its new one. Terms that
+ * are due no earlier are admitted and keep the old due time, so that requests
+ * already waiting do not lose their position. Terms that are due earlier need
+ * a new decision; if they are refused, the old terms apply again.
  */
-static void take_over(struct fg_want_ask *ask, const struct fg_want_ask *old)
+static void inherit_admission(struct fg_router_need *need,
+			      const struct fg_router_need *old)
 {
-	const struct fg_want_terms *was =
-		old->admitted ? &old->terms : &old->before;
+	const struct fg_need_terms *previous =
+		old->admitted ? &old->terms : &old->prev_admitted;
 
-	if (was->waiting == 0)
+	if (previous->waiting == 0)
 		return;
-	if (ask->terms.due < was->due) {
-		ask->before = *was;
+	if (need->terms.due < previous->due) {
+		need->prev_admitted = *previous;
 		return;
 	}
-	ask->admitted = true;
-	/* With the first of them gone the others have their own time. */
-	if (ask->terms.deadline > was->deadline + FG_MS_PER_S)
+	need->admitted = true;
+	/* A later deadline means that the most urgent request has left; the
+	 * remaining requests keep their own due time. */
+	if (need->terms.deadline > previous->deadline + FG_MS_PER_S)
 		return;
-	ask->terms.due = was->due;
-	ask->terms.hold_until = MIN(ask->terms.hold_until, was->hold_until);
+	need->terms.due = previous->due;
+	need->terms.hold_until =
+		MIN(need->terms.hold_until, previous->hold_until);
 }
 
-void fg_broker_on_need(struct fg_broker *b, fg_ms now, uint64_t from,
+void fg_broker_on_need(struct fg_broker *b, fg_ms now, uint64_t router,
 		       const fg_need *need)
 {
-	struct fg_want_ask ask = { .from = from,
-				   .admitted = !b->policy->refuses };
-	struct fg_want_ask old;
-	struct fg_want *w;
+	struct fg_router_need entry = { .router = router,
+					.admitted = !b->policy->refuses_needs };
+	struct fg_router_need old;
+	struct fg_demand *demand;
 
 	if (fg_av_none(need->av))
 		return;
-	if (need->waiting == 0 && fg_broker_want(b, need->av) == NULL)
+	if (need->waiting == 0 && fg_broker_find_demand(b, need->av) == NULL)
 		return;
-	ask.terms.waiting = need->waiting;
-	ask.terms.cls = need->cls;
-	ask.terms.deadline = now + need->slack_ms;
-	ask.terms.due = now + due_in(b, need->slack_ms);
-	ask.terms.hold_until = now + hold_for(b, need);
-	w = find_or_add(b, now, need->av);
-	if (remove_ask(w, from, &old))
-		take_over(&ask, &old);
+	entry.terms.waiting = need->waiting;
+	entry.terms.cls = need->cls;
+	entry.terms.deadline = now + need->slack_ms;
+	entry.terms.due = now + compute_due_ms(b, need->slack_ms);
+	entry.terms.hold_until = now + compute_hold_ms(b, need);
+	demand = find_or_add_demand(b, now, need->av);
+	if (remove_need(demand, router, &old))
+		inherit_admission(&entry, &old);
 	if (need->waiting > 0)
-		g_array_append_val(w->asks, ask);
-	fg_broker_settle(b, w);
+		g_array_append_val(demand->needs, entry);
+	fg_broker_update_demand(b, demand);
 }
 
-void fg_broker_on_router_gone(struct fg_broker *b, uint64_t from)
+void fg_broker_on_router_gone(struct fg_broker *b, uint64_t router)
 {
-	GList *wants = g_hash_table_get_values(b->wants);
+	GList *demands = g_hash_table_get_values(b->demands);
 
-	for (GList *l = wants; l != NULL; l = l->next) {
-		struct fg_want *w = l->data;
+	for (GList *l = demands; l != NULL; l = l->next) {
+		struct fg_demand *demand = l->data;
 
-		remove_ask(w, from, NULL);
-		fg_broker_settle(b, w);
+		remove_need(demand, router, NULL);
+		fg_broker_update_demand(b, demand);
 	}
-	g_list_free(wants);
+	g_list_free(demands);
 }
 
 void fg_broker_on_heat(struct fg_broker *b, fg_ms now, const fg_heat *heat)
@@ -255,31 +268,33 @@
 	}
 }
 
-/* ---- Marks on what is no victim ---- */
+/* ---- Eviction protection ---- */
 
-static uint64_t mark_key(uint64_t ep, fg_av av)
+static uint64_t cooldown_key(uint64_t ep, fg_av av)
 {
 	return fg_hash_mix(ep, fg_av_key(av));
 }
 
-static void mark(struct fg_broker *b, uint64_t ep, fg_av av, fg_ms until)
+static void protect_from_eviction(struct fg_broker *b, uint64_t ep, fg_av av,
+				  fg_ms until)
 {
-	struct fg_mark *m = g_new0(struct fg_mark, 1);
+	struct fg_cooldown *cooldown = g_new0(struct fg_cooldown, 1);
 
-	m->key = mark_key(ep, av);
-	m->until = until;
-	g_hash_table_replace(b->marks, &m->key, m);
+	cooldown->key = cooldown_key(ep, av);
+	cooldown->until = until;
+	g_hash_table_replace(b->victim_cooldowns, &cooldown->key, cooldown);
 }
 
-bool fg_broker_keeps(const struct fg_broker *b, fg_ms now,
-		     const struct fg_dir_ep *e, fg_av av)
+bool fg_broker_is_protected(const struct fg_broker *b, fg_ms now,
+			    const struct fg_dir_ep *e, fg_av av)
 {
-	uint64_t key = mark_key(e->id, av);
-	const struct fg_mark *m = g_hash_table_lookup(b->marks, &key);
+	uint64_t key = cooldown_key(e->id, av);
+	const struct fg_cooldown *cooldown =
+		g_hash_table_lookup(b->victim_cooldowns, &key);
 	GHashTableIter it;
 	gpointer value;
 
-	if (m != NULL && m->until > now)
+	if (cooldown != NULL && cooldown->until > now)
 		return true;
 	g_hash_table_iter_init(&it, b->loads);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
@@ -293,7 +308,7 @@
 
 /* ---- What policies read ---- */
 
-bool fg_broker_loading(const struct fg_broker *b, fg_av av)
+bool fg_broker_is_loading(const struct fg_broker *b, fg_av av)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -305,7 +320,7 @@
 	return false;
 }
 
-static bool holds(const struct fg_dir_ep *e, fg_av av)
+static bool has_adapter(const struct fg_dir_ep *e, fg_av av)
 {
 	for (uint32_t i = 0; i < e->n_av; i++)
 		if (fg_av_equal(e->av[i], av))
@@ -313,8 +328,8 @@
 	return false;
 }
 
-uint32_t fg_broker_free_slots(const struct fg_broker *b,
-			      const struct fg_dir_ep *e)
+uint32_t fg_broker_count_free_slots(const struct fg_broker *b,
+				    const struct fg_dir_ep *e)
 {
 	uint32_t used = e->n_av;
 	GHashTableIter it;
@@ -324,35 +339,37 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct fg_load *l = value;
 
-		if (l->ep != e->id || holds(e, l->av))
+		if (l->ep != e->id || has_adapter(e, l->av))
 			continue;
-		/* A victim still listed gives its slot to this load. */
-		if (fg_av_none(l->victim) || !holds(e, l->victim))
+		/* A load with a resident victim reuses the victim's slot. */
+		if (fg_av_none(l->victim) || !has_adapter(e, l->victim))
 			used++;
 	}
 	return used < e->slots ? e->slots - used : 0;
 }
 
-bool fg_broker_ep_open(const struct fg_broker *b, fg_ms now,
-		       const struct fg_want *w, const struct fg_dir_ep *e)
+bool fg_broker_can_load_on(const struct fg_broker *b, fg_ms now,
+			   const struct fg_demand *demand,
+			   const struct fg_dir_ep *e)
 {
-	if (!fg_dir_ep_usable(e, b->service) || e->region != b->region)
+	if (!fg_dir_ep_is_usable(e, b->service) || e->region != b->region)
 		return false;
-	if (e->slots == 0 || holds(e, w->av))
+	if (e->slots == 0 || has_adapter(e, demand->av))
 		return false;
-	for (int i = 0; i < FG_WANT_AVOID; i++)
-		if (w->avoid[i].ep == e->id && w->avoid[i].until > now)
+	for (int i = 0; i < FG_AVOID_MAX; i++)
+		if (demand->avoid[i].ep == e->id &&
+		    demand->avoid[i].until > now)
 			return false;
 	return true;
 }
 
-fg_ms fg_broker_start_in(const struct fg_broker *b, fg_ms now, uint32_t n)
+fg_ms fg_broker_load_wait_ms(const struct fg_broker *b, fg_ms now, uint32_t n)
 {
 	fg_ms wait = b->paused_until > now ? b->paused_until - now : 0;
-	double short_of = n - b->tokens;
+	double missing = n - b->load_tokens;
 
-	if (b->conf.loads_per_s > 0 && short_of > 0)
-		wait += (fg_ms)(short_of * FG_MS_PER_S / b->conf.loads_per_s);
+	if (b->conf.loads_per_s > 0 && missing > 0)
+		wait += (fg_ms)(missing * FG_MS_PER_S / b->conf.loads_per_s);
 	return wait;
 }
 
@@ -361,83 +378,88 @@
 {
 	uint32_t ahead = 1;
 
-	if (fg_broker_loading(b, av))
+	if (fg_broker_is_loading(b, av))
 		return b->conf.load_ms;
-	/* Needs that share this load do not wait for one another. */
-	if (fg_broker_want(b, av) == NULL)
-		ahead += g_hash_table_size(b->wants);
+	/* A new adapter queues last. A need that joins a pending load shares
+	 * the load's position, which is halfway on average. */
+	if (fg_broker_find_demand(b, av) == NULL)
+		ahead += g_hash_table_size(b->demands);
 	else
-		ahead += g_hash_table_size(b->wants) / 2;
-	return (uint32_t)fg_broker_start_in(b, now, ahead) + b->conf.load_ms;
+		ahead += g_hash_table_size(b->demands) / 2;
+	return (uint32_t)fg_broker_load_wait_ms(b, now, ahead) +
+	       b->conf.load_ms;
 }
 
 /* ---- Replies ---- */
 
-static void avoid(struct fg_want *w, uint64_t ep, fg_ms until)
+static void avoid_endpoint(struct fg_demand *demand, uint64_t ep, fg_ms until)
 {
-	w->avoid[w->next_avoid].ep = ep;
-	w->avoid[w->next_avoid].until = until;
-	w->next_avoid = (w->next_avoid + 1) % FG_WANT_AVOID;
+	demand->avoid[demand->next_avoid].ep = ep;
+	demand->avoid[demand->next_avoid].until = until;
+	demand->next_avoid = (demand->next_avoid + 1) % FG_AVOID_MAX;
 }
 
-static uint32_t backoff_ms(uint32_t fails)
+static uint32_t compute_backoff_ms(uint32_t failures)
 {
 	uint32_t wait = BACKOFF_MS;
 
-	for (uint32_t i = 1; i < fails && wait < BACKOFF_MAX_MS; i++)
+	for (uint32_t i = 1; i < failures && wait < BACKOFF_MAX_MS; i++)
 		wait *= 2;
 	return MIN(wait, BACKOFF_MAX_MS);
 }
 
-/* Failures one after the other mean that the store is down: then one load at
- * a time is tried until one succeeds. */
-static void note_failure(struct fg_broker *b, fg_ms now)
+/* Consecutive failures mean that the weight store is down. */
+static void record_store_failure(struct fg_broker *b, fg_ms now)
 {
-	b->fails++;
-	if (b->fails >= FG_FAILS_DOWN)
+	b->store_failures++;
+	if (b->store_failures >= FG_STORE_DOWN_FAILURES)
 		b->paused_until =
-			now + backoff_ms(b->fails - FG_FAILS_DOWN + 1);
+			now + compute_backoff_ms(b->store_failures -
+						 FG_STORE_DOWN_FAILURES + 1);
 }
 
-void fg_broker_load_failed(struct fg_broker *b, fg_ms now, uint64_t ep,
-			   fg_av av)
+void fg_broker_record_load_failure(struct fg_broker *b, fg_ms now, uint64_t ep,
+				   fg_av av)
 {
 	uint64_t key = fg_av_key(av);
-	struct fg_want *w = g_hash_table_lookup(b->wants, &key);
+	struct fg_demand *demand = g_hash_table_lookup(b->demands, &key);
 
-	note_failure(b, now);
-	if (w == NULL)
+	record_store_failure(b, now);
+	if (demand == NULL)
 		return;
-	w->fails++;
-	w->not_before = now + backoff_ms(w->fails);
-	avoid(w, ep, w->not_before + AVOID_MS);
+	demand->failures++;
+	demand->retry_at = now + compute_backoff_ms(demand->failures);
+	avoid_endpoint(demand, ep, demand->retry_at + FAILED_EP_RETRY_MS);
 }
 
-static void on_done(struct fg_broker *b, fg_ms now, const struct fg_load *l)
+static void on_load_done(struct fg_broker *b, fg_ms now,
+			 const struct fg_load *l)
 {
 	uint64_t key = fg_av_key(l->av);
-	struct fg_want *w = g_hash_table_lookup(b->wants, &key);
+	struct fg_demand *demand = g_hash_table_lookup(b->demands, &key);
 
 	b->stats.done++;
-	b->fails = 0;
+	b->store_failures = 0;
 	b->paused_until = 0;
-	mark(b, l->ep, l->av, now + PROTECT_MS);
-	if (w != NULL)
-		drop_want(b, w);
+	protect_from_eviction(b, l->ep, l->av, now + NEW_ADAPTER_KEEP_MS);
+	if (demand != NULL)
+		remove_demand(b, demand);
 }
 
-/* No load was spent: another place is tried at once. */
-static void on_refused(struct fg_broker *b, fg_ms now, const struct fg_load *l)
+/* Returns the unused budget token; another endpoint may be tried at once. */
+static void on_load_refused(struct fg_broker *b, fg_ms now,
+			    const struct fg_load *l)
 {
 	uint64_t key = fg_av_key(l->av);
-	struct fg_want *w = g_hash_table_lookup(b->wants, &key);
+	struct fg_demand *demand = g_hash_table_lookup(b->demands, &key);
 
 	b->stats.refused++;
-	b->tokens += 1;
+	b->load_tokens += 1;
 	if (!fg_av_none(l->victim))
-		mark(b, l->ep, l->victim, now + PINNED_MS);
-	if (w != NULL)
-		avoid(w, l->ep, now + PINNED_MS);
+		protect_from_eviction(b, l->ep, l->victim,
+				      now + REFUSED_RETRY_MS);
+	if (demand != NULL)
+		avoid_endpoint(demand, l->ep, now + REFUSED_RETRY_MS);
 }
 
 void fg_broker_on_reply(struct fg_broker *b, fg_ms now, const fg_place_rep *rep)
@@ -453,14 +475,14 @@
 		l->deadline = now + b->conf.order_timeout_ms;
 		return;
 	case FG_PLACE_DONE:
-		on_done(b, now, l);
+		on_load_done(b, now, l);
 		break;
 	case FG_PLACE_REFUSED:
-		on_refused(b, now, l);
+		on_load_refused(b, now, l);
 		break;
 	case FG_PLACE_FAILED:
 		b->stats.failed++;
-		fg_broker_load_failed(b, now, l->ep, l->av);
+		fg_broker_record_load_failure(b, now, l->ep, l->av);
 		break;
 	}
 	g_hash_table_remove(b->loads, &order);
@@ -469,6 +491,6 @@
 void fg_broker_stats(const struct fg_broker *b, struct fg_broker_stats *out)
 {
 	*out = b->stats;
-	out->waiting = g_hash_table_size(b->wants);
+	out->waiting = g_hash_table_size(b->demands);
 	out->in_flight = g_hash_table_size(b->loads);
 }
--- a/lib/place/fg_broker_admit.c
+++ b/lib/place/fg_broker_admit.c
@@ -1,175 +1,186 @@
 /*
- * Which needs are admitted. One that cannot be met is refused when it comes,
- * so that its requests can go elsewhere at once; one that is admitted keeps
- * its place in the order of loads.
+ * Admission of needs. A need that cannot be met is refused on arrival, so that
+ * its requests can be sent elsewhere at once. An admitted need keeps its
+ * position in the load queue.
  */
 #include "place/fg_place_priv.h"
 
 #include <stdlib.h>
 
-#define DRAFT_PERCENT 80 /* of the budget that drafts are admitted to */
+/* Share of the load budget that drafts may use. The draft queue reaches
+ * minutes ahead; the rest is left to later needs with less time. */
+#define DRAFT_PERCENT 80
 
-static int by_due(const void *a, const void *b)
+static int compare_due(const void *a, const void *b)
 {
-	const struct fg_want *x = *(struct fg_want *const *)a;
-	const struct fg_want *y = *(struct fg_want *const *)b;
+	const struct fg_demand *x = *(struct fg_demand *const *)a;
+	const struct fg_demand *y = *(struct fg_demand *const *)b;
 
 	if (x->terms.due != y->terms.due)
 		return x->terms.due < y->terms.due ? -1 : 1;
 	return x->key < y->key ? -1 : x->key > y->key;
 }
 
-GPtrArray *fg_broker_collect(const struct fg_broker *b, fg_ms now,
-			     fg_want_filter keep)
+GPtrArray *fg_broker_collect_demands(const struct fg_broker *b, fg_ms now,
+				     fg_demand_filter keep)
 {
-	GPtrArray *list = g_ptr_array_new();
+	GPtrArray *demands = g_ptr_array_new();
 	GHashTableIter it;
 	gpointer value;
 
-	g_hash_table_iter_init(&it, b->wants);
+	g_hash_table_iter_init(&it, b->demands);
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		if (keep(b, now, value))
-			g_ptr_array_add(list, value);
-	if (list->len > 1)
-		qsort(list->pdata, list->len, sizeof(gpointer), by_due);
-	return list;
+			g_ptr_array_add(demands, value);
+	if (demands->len > 1)
+		qsort(demands->pdata, demands->len, sizeof(gpointer),
+		      compare_due);
+	return demands;
 }
 
 static bool is_queued(const struct fg_broker *b, fg_ms now,
-		      const struct fg_want *w)
+		      const struct fg_demand *demand)
 {
 	(void)now;
-	return w->admitted && !fg_broker_loading(b, w->av);
+	return demand->admitted && !fg_broker_is_loading(b, demand->av);
 }
 
-/* When the load at this place of the queue would be done, with a share of the
- * budget. */
-static fg_ms done_at(const struct fg_broker *b, fg_ms now, uint32_t place,
-		     uint32_t percent)
+/* Expected end of the load at this queue position (from 1) when only `percent`
+ * of the load budget may be used. */
+static fg_ms estimate_done_at(const struct fg_broker *b, fg_ms now,
+			      uint32_t position, uint32_t percent)
 {
-	uint32_t scaled = (place * 100 + percent - 1) / percent;
+	uint32_t scaled = (position * 100 + percent - 1) / percent;
 
-	return now + fg_broker_start_in(b, now, scaled) + b->conf.load_ms;
+	return now + fg_broker_load_wait_ms(b, now, scaled) + b->conf.load_ms;
 }
 
 /*
- * Would every admitted need still be met, earliest due first, with w due by
- * `due`? `queue` is sorted by due time. The queue of drafts reaches minutes
- * ahead; they leave a part of the budget to those who come later with less
- * time.
+ * True if `demand` can be loaded by `due` without making a later entry of
+ * `queue` miss its due time. `queue` is sorted by due time and loaded in that
+ * order (earliest deadline first).
  */
-static bool fits(const struct fg_broker *b, fg_ms now, const GPtrArray *queue,
-		 const struct fg_want *w, fg_ms due, enum fg_class cls)
+static bool fits_schedule(const struct fg_broker *b, fg_ms now,
+			  const GPtrArray *queue,
+			  const struct fg_demand *demand, fg_ms due,
+			  enum fg_class cls)
 {
 	uint32_t percent = cls == FG_CLASS_DRAFT ? DRAFT_PERCENT : 100;
-	uint32_t place = 1;
-	bool placed = false;
+	uint32_t position = 1;
+	bool inserted = false;
 
 	for (guint i = 0; i < queue->len; i++) {
-		const struct fg_want *other = queue->pdata[i];
+		const struct fg_demand *other = queue->pdata[i];
 		fg_ms done;
 
-		if (other == w)
+		if (other == demand)
 			continue;
-		if (!placed && other->terms.due > due) {
-			if (done_at(b, now, place, percent) > due)
+		if (!inserted && other->terms.due > due) {
+			if (estimate_done_at(b, now, position, percent) > due)
 				return false;
-			placed = true;
-			place++;
+			inserted = true;
+			position++;
 		}
-		done = done_at(b, now, place, percent);
-		place++;
-		/* One that is late already is not made so by w. */
-		if (placed && done > other->terms.due &&
+		done = estimate_done_at(b, now, position, percent);
+		position++;
+		/* An entry over 1 s late would be late without `demand`. */
+		if (inserted && done > other->terms.due &&
 		    done <= other->terms.due + FG_MS_PER_S)
 			return false;
 	}
-	return placed || done_at(b, now, place, percent) <= due;
+	return inserted || estimate_done_at(b, now, position, percent) <= due;
 }
 
-/* Does the ask cost nobody anything, or can it be met? */
-static bool may_admit(const struct fg_broker *b, fg_ms now,
-		      const struct fg_want *w, const struct fg_want_ask *a)
+/* True if the need shares a load that is under way or due early enough, or if
+ * a load of its own fits the schedule. */
+static bool can_admit(const struct fg_broker *b, fg_ms now,
+		      const struct fg_demand *demand,
+		      const struct fg_router_need *need)
 {
-	/* How long the store stays down is not known: time enough is left. */
-	bool down = b->fails >= FG_FAILS_DOWN;
-	fg_ms due = down ? a->terms.deadline : a->terms.due;
+	/* The length of an outage is unknown, so a need may use its whole
+	 * slack while the store is down. */
+	bool down = b->store_failures >= FG_STORE_DOWN_FAILURES;
+	fg_ms due = down ? need->terms.deadline : need->terms.due;
 	GPtrArray *queue;
 	bool ok;
 
-	if (fg_broker_loading(b, w->av))
+	if (fg_broker_is_loading(b, demand->av))
 		return true;
-	if (w->admitted && a->terms.due >= w->terms.due)
+	if (demand->admitted && need->terms.due >= demand->terms.due)
 		return true;
-	queue = fg_broker_collect(b, now, is_queued);
-	ok = fits(b, now, queue, w, due, a->terms.cls);
+	queue = fg_broker_collect_demands(b, now, is_queued);
+	ok = fits_schedule(b, now, queue, demand, due, need->terms.cls);
 	g_ptr_array_free(queue, TRUE);
 	return ok;
 }
 
-static void refuse_ask(struct fg_want *w, guint i, fg_broker_refuse refuse,
-		       void *arg)
+static void refuse_need(struct fg_demand *demand, guint i,
+			fg_broker_refuse refuse, void *arg)
 {
-	struct fg_want_ask *a = &g_array_index(w->asks, struct fg_want_ask, i);
-	fg_place_rep rep = { .av = w->av, .status = FG_PLACE_REFUSED };
+	struct fg_router_need *need =
+		&g_array_index(demand->needs, struct fg_router_need, i);
+	fg_place_rep rep = { .av = demand->av, .status = FG_PLACE_REFUSED };
 
-	refuse(arg, a->from, &rep);
-	if (a->admitted || a->before.waiting == 0) {
-		g_array_remove_index_fast(w->asks, i);
+	refuse(arg, need->router, &rep);
+	if (need->admitted || need->prev_admitted.waiting == 0) {
+		g_array_remove_index_fast(demand->needs, i);
 		return;
 	}
-	a->terms = a->before;
-	a->before.waiting = 0;
-	a->admitted = true;
+	need->terms = need->prev_admitted;
+	need->prev_admitted.waiting = 0;
+	need->admitted = true;
 }
 
-static void judge(struct fg_broker *b, fg_ms now, struct fg_want *w,
-		  fg_broker_refuse refuse, void *arg)
+static void admit_or_refuse(struct fg_broker *b, fg_ms now,
+			    struct fg_demand *demand, fg_broker_refuse refuse,
+			    void *arg)
 {
-	for (guint i = w->asks->len; i-- > 0;) {
-		struct fg_want_ask *a =
-			&g_array_index(w->asks, struct fg_want_ask, i);
+	for (guint i = demand->needs->len; i-- > 0;) {
+		struct fg_router_need *need =
+			&g_array_index(demand->needs, struct fg_router_need, i);
 
-		if (a->admitted)
+		if (need->admitted)
 			continue;
-		a->admitted = may_admit(b, now, w, a);
-		if (a->admitted)
-			a->before.waiting = 0;
+		need->admitted = can_admit(b, now, demand, need);
+		if (need->admitted)
+			need->prev_admitted.waiting = 0;
 		else
-			refuse_ask(w, i, refuse, arg);
+			refuse_need(demand, i, refuse, arg);
 	}
-	fg_broker_settle(b, w);
+	fg_broker_update_demand(b, demand);
 }
 
-static void refuse_hopeless(struct fg_broker *b, fg_ms now, struct fg_want *w,
-			    fg_broker_refuse refuse, void *arg)
+static void refuse_hopeless(struct fg_broker *b, fg_ms now,
+			    struct fg_demand *demand, fg_broker_refuse refuse,
+			    void *arg)
 {
-	for (guint i = w->asks->len; i-- > 0;) {
-		const struct fg_want_ask *a =
-			&g_array_index(w->asks, struct fg_want_ask, i);
+	for (guint i = demand->needs->len; i-- > 0;) {
+		const struct fg_router_need *need =
+			&g_array_index(demand->needs, struct fg_router_need, i);
 
-		if (now + b->conf.load_ms > a->terms.deadline)
-			refuse_ask(w, i, refuse, arg);
+		if (now + b->conf.load_ms > need->terms.deadline)
+			refuse_need(demand, i, refuse, arg);
 	}
-	fg_broker_settle(b, w);
+	fg_broker_update_demand(b, demand);
 }
 
 static bool is_hopeless(const struct fg_broker *b, fg_ms now,
-			const struct fg_want *w)
+			const struct fg_demand *demand)
 {
-	if (now + b->conf.load_ms <= w->terms.deadline)
+	if (now + b->conf.load_ms <= demand->terms.deadline)
 		return false;
-	return !fg_broker_loading(b, w->av) &&
-	       !fg_broker_resident(b, w->av, true);
+	return !fg_broker_is_loading(b, demand->av) &&
+	       !fg_broker_is_resident(b, demand->av, true);
 }
 
-static bool has_new(const struct fg_broker *b, fg_ms now,
-		    const struct fg_want *w)
+static bool has_unadmitted_need(const struct fg_broker *b, fg_ms now,
+				const struct fg_demand *demand)
 {
 	(void)b;
 	(void)now;
-	for (guint i = 0; i < w->asks->len; i++)
-		if (!g_array_index(w->asks, struct fg_want_ask, i).admitted)
+	for (guint i = 0; i < demand->needs->len; i++)
+		if (!g_array_index(demand->needs, struct fg_router_need, i)
+			     .admitted)
 			return true;
 	return false;
 }
@@ -177,17 +188,17 @@
 void fg_broker_refuse_needs(struct fg_broker *b, fg_ms now,
 			    fg_broker_refuse refuse, void *arg)
 {
-	GPtrArray *list;
+	GPtrArray *demands;
 
-	if (!b->policy->refuses)
+	if (!b->policy->refuses_needs)
 		return;
-	fg_broker_refill(b, now);
-	list = fg_broker_collect(b, now, is_hopeless);
-	for (guint i = 0; i < list->len; i++)
-		refuse_hopeless(b, now, list->pdata[i], refuse, arg);
-	g_ptr_array_free(list, TRUE);
-	list = fg_broker_collect(b, now, has_new);
-	for (guint i = 0; i < list->len; i++)
-		judge(b, now, list->pdata[i], refuse, arg);
-	g_ptr_array_free(list, TRUE);
+	fg_broker_refill_tokens(b, now);
+	demands = fg_broker_collect_demands(b, now, is_hopeless);
+	for (guint i = 0; i < demands->len; i++)
+		refuse_hopeless(b, now, demands->pdata[i], refuse, arg);
+	g_ptr_array_free(demands, TRUE);
+	demands = fg_broker_collect_demands(b, now, has_unadmitted_need);
+	for (guint i = 0; i < demands->len; i++)
+		admit_or_refuse(b, now, demands->pdata[i], refuse, arg);
+	g_ptr_array_free(demands, TRUE);
 }
--- a/lib/place/fg_broker_tick.c
+++ b/lib/place/fg_broker_tick.c
@@ -1,41 +1,44 @@
-/* The broker's orders: budget, admission of needs, loads and copies. */
+/* Broker tick: the load budget, load orders, and copies of popular adapters. */
 #include "place/fg_place_priv.h"
 
 #include <assert.h>
 #include <stdlib.h>
 
-#define BURST_MS 1000	  /* unused budget that may be saved up */
-#define RETRY_PLACE_MS 50 /* no place found: tried again after this */
-#define NEWS_MS 1000	  /* by then a router has heard what is resident */
+#define BURST_MS 1000	  /* budget of this time may accumulate */
+#define RETRY_PLACE_MS 50 /* retry interval while no endpoint can load */
+/* Routers receive a RESIDENT message within this time. */
+#define RESIDENT_DELAY_MS 1000
 #define COPY_CHECK_MS 500
-#define COPY_GAP_MS 10000 /* between copies of an adapter or endpoint */
-#define SATURATED 0.85	  /* load relative to the batch */
+/* Minimum time between two copies of an adapter, or from one endpoint. */
+#define COPY_GAP_MS 10000
+#define SATURATED_UTILIZATION 0.85
 
 /* ---- Budget ---- */
 
-void fg_broker_refill(struct fg_broker *b, fg_ms now)
+void fg_broker_refill_tokens(struct fg_broker *b, fg_ms now)
 {
-	double most = (double)b->conf.loads_per_s * BURST_MS / FG_MS_PER_S;
-
-	if (b->refilled == FG_MS_NEVER)
-		b->refilled = now;
-	b->tokens +=
-		(double)(now - b->refilled) * b->conf.loads_per_s / FG_MS_PER_S;
-	b->tokens = MIN(b->tokens, MAX(most, 1));
-	b->refilled = now;
+	double max_tokens =
+		(double)b->conf.loads_per_s * BURST_MS / FG_MS_PER_S;
+
+	if (b->refilled_at == FG_MS_NEVER)
+		b->refilled_at = now;
+	b->load_tokens += (double)(now - b->refilled_at) * b->conf.loads_per_s /
+			  FG_MS_PER_S;
+	b->load_tokens = MIN(b->load_tokens, MAX(max_tokens, 1));
+	b->refilled_at = now;
 }
 
-static bool may_start(const struct fg_broker *b, fg_ms now)
+static bool can_start_load(const struct fg_broker *b, fg_ms now)
 {
 	uint32_t in_flight = g_hash_table_size(b->loads);
 
 	if (b->paused_until > now)
 		return false;
-	if (b->fails >= FG_FAILS_DOWN && in_flight > 0)
+	if (b->store_failures >= FG_STORE_DOWN_FAILURES && in_flight > 0)
 		return false;
 	if (b->conf.in_flight_max > 0 && in_flight >= b->conf.in_flight_max)
 		return false;
-	return b->conf.loads_per_s == 0 || b->tokens >= 1;
+	return b->conf.loads_per_s == 0 || b->load_tokens >= 1;
 }
 
 static void expire_loads(struct fg_broker *b, fg_ms now)
@@ -50,58 +53,63 @@
 		if (l->deadline > now)
 			continue;
 		b->stats.timed_out++;
-		fg_broker_load_failed(b, now, l->ep, l->av);
+		fg_broker_record_load_failure(b, now, l->ep, l->av);
 		g_hash_table_iter_remove(&it);
 	}
 }
 
-static gboolean mark_is_over(gpointer key, gpointer value, gpointer now)
+static gboolean is_cooldown_over(gpointer key, gpointer value, gpointer now)
 {
-	const struct fg_mark *m = value;
+	const struct fg_cooldown *cooldown = value;
 
 	(void)key;
-	return m->until <= *(const fg_ms *)now;
+	return cooldown->until <= *(const fg_ms *)now;
 }
 
 /* ---- What may be loaded ---- */
 
-bool fg_broker_resident(const struct fg_broker *b, fg_av av, bool full_too)
+bool fg_broker_is_resident(const struct fg_broker *b, fg_av av,
+			   bool include_saturated)
 {
-	const GPtrArray *eps = fg_dir_holders(b->dir, av);
+	const GPtrArray *eps = fg_dir_find_holders(b->dir, av);
 
 	for (guint i = 0; eps != NULL && i < eps->len; i++) {
 		const struct fg_dir_ep *e = eps->pdata[i];
 
-		if (!fg_dir_ep_usable(e, b->service) || e->region != b->region)
+		if (!fg_dir_ep_is_usable(e, b->service) ||
+		    e->region != b->region)
 			continue;
-		if (full_too || fg_dir_ep_fill(e) < SATURATED)
+		if (include_saturated ||
+		    fg_dir_ep_utilization(e) < SATURATED_UTILIZATION)
 			return true;
 	}
 	return false;
 }
 
 /*
- * A need for what is resident with room is about to be withdrawn: its router
- * hears of it as well. Only when it lasts is another copy loaded.
+ * A need for an adapter that is resident on an endpoint with room is usually
+ * withdrawn soon, because its router receives the RESIDENT message as well.
+ * Another copy is loaded only if the need persists.
  */
 static bool is_eligible(const struct fg_broker *b, fg_ms now,
-			const struct fg_want *w)
+			const struct fg_demand *demand)
 {
-	if (w->not_before > now || fg_broker_loading(b, w->av))
+	if (demand->retry_at > now || fg_broker_is_loading(b, demand->av))
 		return false;
-	if (!w->admitted)
+	if (!demand->admitted)
 		return false;
-	if (b->policy->refuses && w->terms.hold_until > now)
+	if (b->policy->refuses_needs && demand->terms.hold_until > now)
 		return false;
-	if (now - w->first_at >= NEWS_MS)
+	if (now - demand->first_need_at >= RESIDENT_DELAY_MS)
 		return true;
-	return !fg_broker_resident(b, w->av, !b->policy->copies);
+	return !fg_broker_is_resident(b, demand->av,
+				      !b->policy->copies_popular);
 }
 
 /* ---- Orders ---- */
 
-static void order(struct fg_broker *b, fg_ms now, fg_place *place,
-		  fg_broker_emit emit, void *arg)
+static void order_load(struct fg_broker *b, fg_ms now, fg_place *place,
+		       fg_broker_emit emit, void *arg)
 {
 	struct fg_load *l = g_new0(struct fg_load, 1);
 
@@ -114,7 +122,7 @@
 	l->victim = place->victim;
 	l->deadline = now + b->conf.order_timeout_ms;
 	g_hash_table_insert(b->loads, &l->order, l);
-	b->tokens -= 1;
+	b->load_tokens -= 1;
 	b->stats.ordered++;
 	emit(arg, place);
 }
@@ -122,96 +130,104 @@
 static void start_loads(struct fg_broker *b, fg_ms now, fg_broker_emit emit,
 			void *arg)
 {
-	GPtrArray *list;
+	GPtrArray *demands;
 
-	if (!may_start(b, now))
+	if (!can_start_load(b, now))
 		return;
-	list = fg_broker_collect(b, now, is_eligible);
-	while (list->len > 0 && may_start(b, now)) {
-		struct fg_want *w = b->policy->next(
-			b, now, (struct fg_want **)list->pdata, list->len);
-		fg_place place = { .av = w->av };
-
-		if (b->policy->choose(b, now, w, &place))
-			order(b, now, &place, emit, arg);
+	demands = fg_broker_collect_demands(b, now, is_eligible);
+	while (demands->len > 0 && can_start_load(b, now)) {
+		struct fg_demand *demand = b->policy->next_load(
+			b, now, (struct fg_demand **)demands->pdata,
+			demands->len);
+		fg_place place = { .av = demand->av };
+
+		if (b->policy->choose_endpoint(b, now, demand, &place))
+			order_load(b, now, &place, emit, arg);
 		else
-			w->not_before = now + RETRY_PLACE_MS;
-		g_ptr_array_remove(list, w);
+			demand->retry_at = now + RETRY_PLACE_MS;
+		g_ptr_array_remove(demands, demand);
 	}
-	g_ptr_array_free(list, TRUE);
+	g_ptr_array_free(demands, TRUE);
 }
 
-/* ---- Copies of hot adapters ---- */
+/* ---- Copies of popular adapters ---- */
 
-static bool copied_lately(const struct fg_broker *b, fg_ms now, uint64_t key)
+static bool was_copied_recently(const struct fg_broker *b, fg_ms now,
+				uint64_t key)
 {
-	const struct fg_mark *m = g_hash_table_lookup(b->replicated, &key);
+	const struct fg_cooldown *cooldown =
+		g_hash_table_lookup(b->copy_cooldowns, &key);
 
-	return m != NULL && m->until > now;
+	return cooldown != NULL && cooldown->until > now;
 }
 
-static void note_copy(struct fg_broker *b, fg_ms now, uint64_t key)
+static void record_copy(struct fg_broker *b, fg_ms now, uint64_t key)
 {
-	struct fg_mark *m = g_new0(struct fg_mark, 1);
+	struct fg_cooldown *cooldown = g_new0(struct fg_cooldown, 1);
 
-	m->key = key;
-	m->until = now + COPY_GAP_MS;
-	g_hash_table_replace(b->replicated, &m->key, m);
+	cooldown->key = key;
+	cooldown->until = now + COPY_GAP_MS;
+	g_hash_table_replace(b->copy_cooldowns, &cooldown->key, cooldown);
 }
 
-/* The most popular adapter of a saturated endpoint that has no room
- * anywhere; none if all have. */
-static fg_av hottest(const struct fg_broker *b, fg_ms now,
-		     const struct fg_dir_ep *e)
+/* Returns the most popular adapter of e that is resident on saturated
+ * endpoints alone and was not copied recently; none if there is no such
+ * adapter. */
+static fg_av find_most_popular(const struct fg_broker *b, fg_ms now,
+			       const struct fg_dir_ep *e)
 {
 	fg_av best = { 0, 0 };
-	double most = 0;
+	double most_heat = 0;
 
 	for (uint32_t i = 0; i < e->n_av; i++) {
 		double heat = fg_heat_get(b->heat, now, e->av[i]);
 
-		if (heat <= most ||
-		    copied_lately(b, now, fg_av_key(e->av[i])) ||
-		    fg_broker_loading(b, e->av[i]) ||
-		    fg_broker_resident(b, e->av[i], false))
+		if (heat <= most_heat ||
+		    was_copied_recently(b, now, fg_av_key(e->av[i])) ||
+		    fg_broker_is_loading(b, e->av[i]) ||
+		    fg_broker_is_resident(b, e->av[i], false))
 			continue;
 		best = e->av[i];
-		most = heat;
+		most_heat = heat;
 	}
 	return best;
 }
 
-/* One copy at a time: its effect on the endpoint is awaited. */
-static bool copy_from(struct fg_broker *b, fg_ms now, const struct fg_dir_ep *e,
-		      fg_broker_emit emit, void *arg)
+/* Copies one adapter of e. The cooldown of e leaves time to see the effect
+ * before the next copy. */
+static bool start_copy(struct fg_broker *b, fg_ms now,
+		       const struct fg_dir_ep *e, fg_broker_emit emit,
+		       void *arg)
 {
-	struct fg_want w = { .av = hottest(b, now, e) };
-	fg_place place = { .av = w.av };
+	struct fg_demand demand = { .av = find_most_popular(b, now, e) };
+	fg_place place = { .av = demand.av };
 
-	if (fg_av_none(w.av) || !b->policy->choose(b, now, &w, &place))
+	if (fg_av_none(demand.av) ||
+	    !b->policy->choose_endpoint(b, now, &demand, &place))
 		return false;
-	note_copy(b, now, fg_av_key(w.av));
-	note_copy(b, now, e->id);
-	order(b, now, &place, emit, arg);
+	record_copy(b, now, fg_av_key(demand.av));
+	record_copy(b, now, e->id);
+	order_load(b, now, &place, emit, arg);
 	return true;
 }
 
 /* At most one copy per check, so that needs keep most of the budget. */
-static void start_copies(struct fg_broker *b, fg_ms now, fg_broker_emit emit,
-			 void *arg)
+static void start_due_copies(struct fg_broker *b, fg_ms now,
+			     fg_broker_emit emit, void *arg)
 {
-	if (!b->policy->copies || now < b->next_copy_check ||
-	    !may_start(b, now))
+	if (!b->policy->copies_popular || now < b->next_copy_check ||
+	    !can_start_load(b, now))
 		return;
 	b->next_copy_check = now + COPY_CHECK_MS;
-	for (guint i = 0; i < b->dir->list->len; i++) {
-		const struct fg_dir_ep *e = b->dir->list->pdata[i];
+	for (guint i = 0; i < b->dir->eps->len; i++) {
+		const struct fg_dir_ep *e = b->dir->eps->pdata[i];
 
-		if (!fg_dir_ep_usable(e, b->service) ||
-		    e->region != b->region || fg_dir_ep_fill(e) < SATURATED ||
-		    copied_lately(b, now, e->id))
+		if (!fg_dir_ep_is_usable(e, b->service) ||
+		    e->region != b->region ||
+		    fg_dir_ep_utilization(e) < SATURATED_UTILIZATION ||
+		    was_copied_recently(b, now, e->id))
 			continue;
-		if (copy_from(b, now, e, emit, arg))
+		if (start_copy(b, now, e, emit, arg))
 			return;
 	}
 }
@@ -219,10 +235,11 @@
 void fg_broker_tick(struct fg_broker *b, fg_ms now, fg_broker_emit emit,
 		    void *arg)
 {
-	fg_broker_refill(b, now);
+	fg_broker_refill_tokens(b, now);
 	expire_loads(b, now);
-	g_hash_table_foreach_remove(b->marks, mark_is_over, &now);
-	g_hash_table_foreach_remove(b->replicated, mark_is_over, &now);
-	start_copies(b, now, emit, arg);
+	g_hash_table_foreach_remove(b->victim_cooldowns, is_cooldown_over,
+				    &now);
+	g_hash_table_foreach_remove(b->copy_cooldowns, is_cooldown_over, &now);
+	start_due_copies(b, now, emit, arg);
 	start_loads(b, now, emit, arg);
 }
--- a/lib/place/fg_dir.c
+++ b/lib/place/fg_dir.c
@@ -1,18 +1,19 @@
-/* The directory: what is resident where, and the choice of an endpoint. */
+/* Directory of resident adapters, and the choice of an endpoint. */
 #include "place/fg_place_priv.h"
 
 #include <assert.h>
 #include <string.h>
 
-/* With a prefix, loads this close (1/n of a batch) count as equal. */
+/* For requests with a prefix, utilizations within 1/PREFIX_LEVELS of a batch
+ * count as equal, so that the prefix hash decides. */
 #define PREFIX_LEVELS 8
 
 void fg_dir_set_stall_weight(struct fg_dir *d, uint32_t stall_weight)
 {
-	d->packs = stall_weight < FG_PACK_BELOW;
+	d->packing = stall_weight < FG_SPREAD_STALL_WEIGHT;
 }
 
-static void ep_free(gpointer p)
+static void free_ep(gpointer p)
 {
 	struct fg_dir_ep *e = p;
 
@@ -26,8 +27,8 @@
 
 	fg_rand_seed(&d->rand, seed);
 	d->by_id = g_hash_table_new_full(fg_key_hash, g_int64_equal, NULL,
-					 ep_free);
-	d->list = g_ptr_array_new();
+					 free_ep);
+	d->eps = g_ptr_array_new();
 	d->by_av = g_hash_table_new_full(fg_key_hash, g_int64_equal, g_free,
 					 (GDestroyNotify)g_ptr_array_unref);
 	return d;
@@ -38,17 +39,18 @@
 	if (d == NULL)
 		return;
 	g_hash_table_destroy(d->by_av);
-	g_ptr_array_free(d->list, TRUE);
+	g_ptr_array_free(d->eps, TRUE);
 	g_hash_table_destroy(d->by_id);
 	g_free(d);
 }
 
-const struct fg_dir_ep *fg_dir_find(const struct fg_dir *d, uint64_t ep)
+const struct fg_dir_ep *fg_dir_find_endpoint(const struct fg_dir *d,
+					     uint64_t ep)
 {
 	return g_hash_table_lookup(d->by_id, &ep);
 }
 
-static struct fg_dir_ep *find_or_add(struct fg_dir *d, uint64_t ep)
+static struct fg_dir_ep *find_or_add_ep(struct fg_dir *d, uint64_t ep)
 {
 	struct fg_dir_ep *e = g_hash_table_lookup(d->by_id, &ep);
 
@@ -57,14 +59,14 @@
 	e = g_new0(struct fg_dir_ep, 1);
 	e->id = ep;
 	g_hash_table_insert(d->by_id, &e->id, e);
-	g_ptr_array_add(d->list, e);
+	g_ptr_array_add(d->eps, e);
 	return e;
 }
 
 void fg_dir_set_endpoint(struct fg_dir *d, uint64_t ep, const char *service,
 			 const char *region, const char *dc, bool leaving)
 {
-	struct fg_dir_ep *e = find_or_add(d, ep);
+	struct fg_dir_ep *e = find_or_add_ep(d, ep);
 
 	(void)dc;
 	e->service = fg_hash_str(service);
@@ -100,8 +102,8 @@
 		g_hash_table_remove(d->by_av, &key);
 }
 
-static void set_avs(struct fg_dir *d, struct fg_dir_ep *e, const fg_av *av,
-		    uint32_t n)
+static void set_resident(struct fg_dir *d, struct fg_dir_ep *e, const fg_av *av,
+			 uint32_t n)
 {
 	for (uint32_t i = 0; i < e->n_av; i++)
 		index_remove(d, e, e->av[i]);
@@ -118,12 +120,12 @@
 
 	if (e == NULL)
 		return;
-	set_avs(d, e, NULL, 0);
-	g_ptr_array_remove(d->list, e);
+	set_resident(d, e, NULL, 0);
+	g_ptr_array_remove(d->eps, e);
 	g_hash_table_remove(d->by_id, &ep);
 }
 
-static bool same_avs(const struct fg_dir_ep *e, const fg_resident *r)
+static bool has_same_adapters(const struct fg_dir_ep *e, const fg_resident *r)
 {
 	return e->n_av == r->av.av_len &&
 	       (e->n_av == 0 ||
@@ -132,25 +134,26 @@
 
 bool fg_dir_on_resident(struct fg_dir *d, fg_ms now, const fg_resident *r)
 {
-	struct fg_dir_ep *e = find_or_add(d, r->ep);
-	bool news;
+	struct fg_dir_ep *e = find_or_add_ep(d, r->ep);
+	bool changed;
 
 	(void)now;
 	if (r->av.av_len > FG_LIST_MAX || r->fence < e->fence)
 		return false;
 	if (r->fence == e->fence && r->seq < e->seq)
 		return false;
-	news = !same_avs(e, r) || e->told_leaving != (bool)r->leaving;
+	changed = !has_same_adapters(e, r) ||
+		  e->reported_leaving != (bool)r->leaving;
 	e->fence = r->fence;
 	e->seq = r->seq;
 	e->slots = r->slots;
 	e->in_use = r->in_use;
 	e->batch = r->batch;
-	e->told_leaving = r->leaving;
-	e->own_reported = e->own;
-	if (news)
-		set_avs(d, e, r->av.av_val, r->av.av_len);
-	return news;
+	e->reported_leaving = r->leaving;
+	e->own_grants_at_report = e->own_grants;
+	if (changed)
+		set_resident(d, e, r->av.av_val, r->av.av_len);
+	return changed;
 }
 
 void fg_dir_add_own_grants(struct fg_dir *d, uint64_t ep, int32_t delta)
@@ -159,33 +162,34 @@
 
 	if (e == NULL)
 		return;
-	e->own += delta;
-	if (e->own < 0)
-		e->own = 0;
+	e->own_grants += delta;
+	if (e->own_grants < 0)
+		e->own_grants = 0;
 }
 
-/* ---- Choice ---- */
+/* ---- Choice of an endpoint ---- */
 
-uint32_t fg_dir_ep_load(const struct fg_dir_ep *e)
+uint32_t fg_dir_ep_in_use(const struct fg_dir_ep *e)
 {
-	int64_t load = (int64_t)e->in_use + e->own - e->own_reported;
+	int64_t in_use =
+		(int64_t)e->in_use + e->own_grants - e->own_grants_at_report;
 
-	if (load < e->own)
-		load = e->own;
-	return (uint32_t)load;
+	if (in_use < e->own_grants)
+		in_use = e->own_grants;
+	return (uint32_t)in_use;
 }
 
-double fg_dir_ep_fill(const struct fg_dir_ep *e)
+double fg_dir_ep_utilization(const struct fg_dir_ep *e)
 {
-	return (double)fg_dir_ep_load(e) / (e->batch > 0 ? e->batch : 1);
+	return (double)fg_dir_ep_in_use(e) / (e->batch > 0 ? e->batch : 1);
 }
 
-bool fg_dir_ep_usable(const struct fg_dir_ep *e, uint64_t service)
+bool fg_dir_ep_is_usable(const struct fg_dir_ep *e, uint64_t service)
 {
-	return e->service == service && !e->leaving && !e->told_leaving;
+	return e->service == service && !e->leaving && !e->reported_leaving;
 }
 
-const GPtrArray *fg_dir_holders(const struct fg_dir *d, fg_av av)
+const GPtrArray *fg_dir_find_holders(const struct fg_dir *d, fg_av av)
 {
 	uint64_t key = fg_av_key(av);
 
@@ -200,33 +204,34 @@
 	return false;
 }
 
-struct choice {
+struct candidate {
 	const struct fg_dir_ep *e;
-	bool near;
-	double level;
-	uint64_t tie;
+	bool in_region;
+	double cost;
+	uint64_t tie_break;
 };
 
-static bool is_better(const struct choice *a, const struct choice *b)
+static bool is_better(const struct candidate *a, const struct candidate *b)
 {
 	if (b->e == NULL)
 		return true;
-	if (a->near != b->near)
-		return a->near;
-	if (a->level != b->level)
-		return a->level < b->level;
-	return a->tie > b->tie;
+	if (a->in_region != b->in_region)
+		return a->in_region;
+	if (a->cost != b->cost)
+		return a->cost < b->cost;
+	return a->tie_break > b->tie_break;
 }
 
-/* Lower is better. */
-static double level_of(const struct fg_dir *d, const struct fg_dir_ep *e,
-		       uint64_t prefix_hash)
+/* Returns the cost of picking e; the lowest cost wins. */
+static double compute_pick_cost(const struct fg_dir *d,
+				const struct fg_dir_ep *e, uint64_t prefix_hash)
 {
-	double fill = fg_dir_ep_fill(e);
+	double utilization = fg_dir_ep_utilization(e);
 
-	if (d->packs && fill < FG_PACK_FILL_MAX)
-		return -fill;
-	return prefix_hash != 0 ? (int)(fill * PREFIX_LEVELS) : fill;
+	if (d->packing && utilization < FG_PACK_UTILIZATION_MAX)
+		return -utilization;
+	return prefix_hash != 0 ? (int)(utilization * PREFIX_LEVELS)
+				: utilization;
 }
 
 struct fg_pick fg_dir_pick_endpoint(struct fg_dir *d, fg_ms now,
@@ -235,24 +240,25 @@
 				    const uint64_t *avoid, size_t n_avoid,
 				    uint64_t prefix_hash)
 {
-	const GPtrArray *eps = fg_dir_holders(d, av);
+	const GPtrArray *eps = fg_dir_find_holders(d, av);
 	uint64_t service_hash = fg_hash_str(service);
 	uint64_t region_hash = fg_hash_str(region);
-	struct choice best = { 0 };
+	struct candidate best = { 0 };
 	struct fg_pick pick = { 0 };
 
 	(void)now;
 	for (guint i = 0; eps != NULL && i < eps->len; i++) {
-		struct choice c = { .e = eps->pdata[i] };
+		struct candidate c = { .e = eps->pdata[i] };
 
-		c.near = c.e->region == region_hash;
-		if (!fg_dir_ep_usable(c.e, service_hash) ||
-		    (!c.near && !allow_remote) ||
+		c.in_region = c.e->region == region_hash;
+		if (!fg_dir_ep_is_usable(c.e, service_hash) ||
+		    (!c.in_region && !allow_remote) ||
 		    is_avoided(c.e->id, avoid, n_avoid))
 			continue;
-		c.level = level_of(d, c.e, prefix_hash);
-		c.tie = prefix_hash != 0 ? fg_hash_mix(prefix_hash, c.e->id)
-					 : fg_rand_next(&d->rand);
+		c.cost = compute_pick_cost(d, c.e, prefix_hash);
+		c.tie_break = prefix_hash != 0
+				      ? fg_hash_mix(prefix_hash, c.e->id)
+				      : fg_rand_next(&d->rand);
 		if (is_better(&c, &best))
 			best = c;
 	}
@@ -260,7 +266,7 @@
 		return pick;
 	pick.ep = best.e->id;
 	pick.resident = true;
-	pick.in_use = fg_dir_ep_load(best.e);
+	pick.in_use = fg_dir_ep_in_use(best.e);
 	pick.batch = best.e->batch;
 	return pick;
 }
@@ -268,7 +274,7 @@
 void fg_dir_for_each_holder(const struct fg_dir *d, fg_av av,
 			    void (*fn)(void *arg, uint64_t ep), void *arg)
 {
-	const GPtrArray *eps = fg_dir_holders(d, av);
+	const GPtrArray *eps = fg_dir_find_holders(d, av);
 
 	for (guint i = 0; eps != NULL && i < eps->len; i++)
 		fn(arg, ((const struct fg_dir_ep *)eps->pdata[i])->id);
--- a/lib/place/fg_heat.c
+++ b/lib/place/fg_heat.c
@@ -1,21 +1,21 @@
-/* Popularity with exponential decay, decayed when read. */
+/* Arrival counts with exponential decay, computed on reading. */
 #include "place/fg_place_priv.h"
 
 #include <assert.h>
 #include <math.h>
 
-#define FLOOR 0.02 /* counts below are dropped */
+#define MIN_COUNT 0.02 /* adapters with a lower count are removed */
 
-struct heat {
+struct popularity {
 	uint64_t key;
-	double value;
-	fg_ms at;
+	double count;
+	fg_ms updated_at;
 };
 
 struct fg_heat_table {
 	uint32_t half_life_ms;
 	fg_ms next_sweep;
-	GHashTable *items; /* fg_av_key -> heat, owns */
+	GHashTable *items; /* fg_av_key -> popularity, owns */
 };
 
 struct fg_heat_table *fg_heat_new(uint32_t half_life_ms)
@@ -37,16 +37,16 @@
 	g_free(h);
 }
 
-static double decayed(const struct fg_heat_table *h, fg_ms now,
-		      const struct heat *item)
+static double decayed_count(const struct fg_heat_table *h, fg_ms now,
+			    const struct popularity *item)
 {
-	double age = (double)(now - item->at) / h->half_life_ms;
+	double age = (double)(now - item->updated_at) / h->half_life_ms;
 
-	return age > 0 ? item->value * exp2(-age) : item->value;
+	return age > 0 ? item->count * exp2(-age) : item->count;
 }
 
-/* Drops idle adapters, so that memory follows the active ones. */
-static void sweep(struct fg_heat_table *h, fg_ms now)
+/* Bounds memory to the adapters in use. */
+static void remove_idle(struct fg_heat_table *h, fg_ms now)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -56,33 +56,33 @@
 	h->next_sweep = now + h->half_life_ms;
 	g_hash_table_iter_init(&it, h->items);
 	while (g_hash_table_iter_next(&it, NULL, &value))
-		if (decayed(h, now, value) < FLOOR)
+		if (decayed_count(h, now, value) < MIN_COUNT)
 			g_hash_table_iter_remove(&it);
 }
 
 void fg_heat_add(struct fg_heat_table *h, fg_ms now, fg_av av, uint32_t count)
 {
 	uint64_t key = fg_av_key(av);
-	struct heat *item;
+	struct popularity *item;
 
-	sweep(h, now);
+	remove_idle(h, now);
 	item = g_hash_table_lookup(h->items, &key);
 	if (item == NULL) {
-		item = g_new0(struct heat, 1);
+		item = g_new0(struct popularity, 1);
 		item->key = key;
-		item->at = now;
+		item->updated_at = now;
 		g_hash_table_insert(h->items, &item->key, item);
 	}
-	item->value = decayed(h, now, item) + count;
-	item->at = now;
+	item->count = decayed_count(h, now, item) + count;
+	item->updated_at = now;
 }
 
 double fg_heat_get(const struct fg_heat_table *h, fg_ms now, fg_av av)
 {
 	uint64_t key = fg_av_key(av);
-	const struct heat *item = g_hash_table_lookup(h->items, &key);
+	const struct popularity *item = g_hash_table_lookup(h->items, &key);
 
-	return item != NULL ? decayed(h, now, item) : 0;
+	return item != NULL ? decayed_count(h, now, item) : 0;
 }
 
 size_t fg_heat_size(const struct fg_heat_table *h)
@@ -93,7 +93,7 @@
 fg_ms fg_heat_last(const struct fg_heat_table *h, fg_av av)
 {
 	uint64_t key = fg_av_key(av);
-	const struct heat *item = g_hash_table_lookup(h->items, &key);
+	const struct popularity *item = g_hash_table_lookup(h->items, &key);
 
-	return item != NULL ? item->at : FG_HEAT_NEVER;
+	return item != NULL ? item->updated_at : FG_HEAT_NEVER;
 }
--- a/lib/place/fg_hold.c
+++ b/lib/place/fg_hold.c
@@ -1,11 +1,11 @@
-/* How long a draft is held to fill a batch. */
+/* Hold time of drafts that wait for a fuller batch. */
 #include "place/fg_place.h"
 
 #include <glib.h>
 
-/* Kept free before the deadline for messages and for a refused grant. */
-#define MARGIN_MS 500
-#define MARGIN_PERCENT 10 /* of the budget, for a service time that grew */
+#define MARGIN_MS 500 /* reserve for messages and for a refused grant */
+/* Share of the budget, in reserve for a service time that has grown. */
+#define MARGIN_PERCENT 10
 
 uint32_t fg_hold_ms(const struct fg_preset *preset, uint32_t budget_ms,
 		    uint32_t service_ms, uint32_t load_ms, uint32_t waiting,
--- a/lib/place/fg_policy.c
+++ b/lib/place/fg_policy.c
@@ -1,4 +1,4 @@
-/* The policies by name. */
+/* Lookup of policies by name. */
 #include "place/fg_place_priv.h"
 
 #include <string.h>
--- a/tests/unit/test_broker_sim.c
+++ b/tests/unit/test_broker_sim.c
@@ -1,20 +1,20 @@
 /*
- * Seeded interleavings of the broker with random needs and replies: never two
- * loads of one adapter, never two loads that count on the same victim, never
- * more in flight than allowed.
+ * Seeded simulation of the broker with random needs and replies. Checks that
+ * no adapter has two loads in flight, no two loads in flight have the same
+ * victim, and the limit of loads in flight holds.
  */
 #include "place_fixture.h"
 
 #define SEEDS 300
 #define STEPS 400
-#define PENDING 64
+#define PENDING_MAX 64
 
 struct sim {
 	struct fg_rand rand;
 	struct fg_dir *d;
 	struct fg_broker *b;
 	fg_ms now;
-	fg_place pending[PENDING];
+	fg_place pending[PENDING_MAX];
 	size_t n;
 	uint64_t seq;
 };
@@ -26,14 +26,14 @@
 	(void)rep;
 }
 
-static void sim_place(void *arg, const fg_place *p)
+static void on_place(void *arg, const fg_place *p)
 {
 	struct sim *s = arg;
 
-	g_assert_cmpuint(s->n, <, PENDING);
+	g_assert_cmpuint(s->n, <, PENDING_MAX);
 	for (size_t i = 0; i < s->n; i++) {
 		g_assert_false(fg_av_equal(s->pending[i].av, p->av));
-		/* Two loads never count on the same slot. */
+		/* Two loads in flight never replace the same victim. */
 		g_assert_false(s->pending[i].ep == p->ep &&
 			       !fg_av_none(p->victim) &&
 			       fg_av_equal(s->pending[i].victim, p->victim));
@@ -53,7 +53,8 @@
 	fg_broker_on_reply(s->b, s->now, &rep);
 	s->seq++;
 	if (rep.status == FG_PLACE_DONE)
-		pfx_tell(s->d, p.ep, s->seq, (uint32_t)s->seq % 9, avs, 2);
+		pfx_report_resident(s->d, p.ep, s->seq, (uint32_t)s->seq % 9,
+				    avs, 2);
 }
 
 static void sim_step(struct sim *s)
@@ -69,7 +70,7 @@
 	if (s->n > 0 && fg_rand_below(&s->rand, 3) == 0)
 		sim_reply(s);
 	fg_broker_refuse_needs(s->b, s->now, ignore_refusal, NULL);
-	fg_broker_tick(s->b, s->now, sim_place, s);
+	fg_broker_tick(s->b, s->now, on_place, s);
 	fg_broker_stats(s->b, &st);
 	g_assert_cmpuint(st.in_flight, <=, 8);
 	g_assert_cmpuint(st.in_flight, ==, s->n);
@@ -91,7 +92,7 @@
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
 		struct sim s = { .seq = 10 };
 
-		s.d = pfx_dir();
+		s.d = pfx_new_dir();
 		s.b = fg_broker_new(&conf, s.d, "gauge", seed);
 		fg_rand_seed(&s.rand, seed);
 		g_test_message("seed %" G_GUINT64_FORMAT, seed);
