--- a/lib/grant/fg_grant.c
+++ b/lib/grant/fg_grant.c
@@ -1,4 +1,4 @@
-/* Slots, loads and reading; see fg_grant_priv.h for the other parts. */
+/* Slots, loads and accessors; fg_grant_priv.h lists the other parts. */
 #include "grant/fg_grant_priv.h"
 
 #include <assert.h>
@@ -6,10 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-void fg_grants_expect_strays(struct fg_grants *g, fg_ms now)
+void fg_grants_expect_orphans(struct fg_grants *g, fg_ms now)
 {
 	for (uint32_t i = 0; i < g->conf.slots; i++)
-		g->slot[i].strays_since = now + FG_DEAD_GRACE_MS;
+		g->slot[i].orphans_since = now + FG_ORPHAN_GRACE_MS;
 }
 
 struct fg_grants *fg_grants_new(const struct fg_grants_conf *conf, fg_ms now,
@@ -25,25 +25,26 @@
 	g->held_by_key = g_hash_table_new(fg_req_key_hash, fg_req_key_equal);
 	g->ended = g_hash_table_new_full(fg_req_key_hash, fg_req_key_equal,
 					 NULL, g_free);
-	g->peers = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					 NULL);
+	g->awaited_peers = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						 g_free, NULL);
 	for (int c = 0; c < FG_CLASS_COUNT; c++)
 		g_queue_init(&g->held[c]);
 	g_queue_init(&g->ended_fifo);
 	g->recovering = recovering;
 	g->have_state = !recovering;
-	g->last_asked = now - 1;
+	g->last_asked_at = now - 1;
 	if (recovering)
-		g->recover_end = now + conf->grant_max_ms;
-	/* Each state that counts, asked at last_asked or later, is newer than
-	 * these slots: none is taken for empty before the engine said so. */
+		g->recovery_end = now + conf->grant_max_ms;
+	/* The slots are older than any engine state that is accepted (asked for
+	 * at last_asked_at or later), so that no slot counts as empty before
+	 * the engine has reported it. */
 	for (uint32_t i = 0; i < conf->slots; i++) {
-		g->slot[i].since = g->last_asked - 1;
+		g->slot[i].since = g->last_asked_at - 1;
 		g->slot[i].last_unpinned = now - 1;
-		g->slot[i].strays_since = FG_MS_NEVER;
+		g->slot[i].orphans_since = FG_MS_NEVER;
 	}
 	if (recovering)
-		fg_grants_expect_strays(g, now);
+		fg_grants_expect_orphans(g, now);
 	fg_grants_note_change(g);
 	return g;
 }
@@ -59,7 +60,7 @@
 	g_hash_table_destroy(g->held_by_key);
 	g_hash_table_destroy(g->grants);
 	g_hash_table_destroy(g->ended);
-	g_hash_table_destroy(g->peers);
+	g_hash_table_destroy(g->awaited_peers);
 	g_free(g);
 }
 
@@ -69,8 +70,8 @@
 	g->changed = true;
 }
 
-int32_t fg_grants_find(const struct fg_grants *g, fg_av av,
-		       enum fg_slot_state state)
+int32_t fg_grants_find_slot(const struct fg_grants *g, fg_av av,
+			    enum fg_slot_state state)
 {
 	for (uint32_t i = 0; i < g->conf.slots; i++)
 		if (g->slot[i].state == state && fg_av_equal(g->slot[i].av, av))
@@ -80,13 +81,13 @@
 
 /* ---- Loads ---- */
 
-static bool has_held(const struct fg_grants *g, fg_av av)
+static bool has_held_request(const struct fg_grants *g, fg_av av)
 {
 	for (int c = 0; c < FG_CLASS_COUNT; c++) {
 		for (GList *l = g->held[c].head; l != NULL; l = l->next) {
-			const struct fg_held *held = l->data;
+			const struct fg_held_request *held = l->data;
 
-			if (fg_av_equal(held->ask.av, av))
+			if (fg_av_equal(held->request.av, av))
 				return true;
 		}
 	}
@@ -94,8 +95,9 @@
 }
 
 /*
- * An engine told an adapter's name may use any slot that holds it, and may be
- * told late: also of a grant whose slot was lost to a restart.
+ * True if any grant is for av. A request names an adapter, not a slot: the
+ * engine may run it on any slot that holds the adapter. The request may also
+ * arrive late, under a grant whose slot was lost in an engine restart.
  */
 static bool is_granted(const struct fg_grants *g, fg_av av)
 {
@@ -110,9 +112,9 @@
 }
 
 /*
- * Nothing that this owner knows of uses the slot, and nothing that it cannot
- * know of: a holder that died together with the last owner told nobody of its
- * grants, so only the engine can say that its requests are gone.
+ * True if neither a known grant nor an orphaned request can use the slot. A
+ * holder that died together with the last owner cannot report its grants, so
+ * only the engine's state shows that its requests have ended.
  */
 static bool is_unused(const struct fg_grants *g, const struct fg_slot *s)
 {
@@ -122,12 +124,12 @@
 		return false;
 	if (!fg_av_none(s->av) && is_granted(g, s->av))
 		return false;
-	if (s->strays_since != FG_MS_NEVER)
+	if (s->orphans_since != FG_MS_NEVER)
 		return false;
-	return s->running == 0 || s->running_at <= s->last_unpinned;
+	return s->running == 0 || s->running_asked_at <= s->last_unpinned;
 }
 
-bool fg_grants_replaced(const struct fg_grants *g, fg_av av)
+bool fg_grants_is_being_replaced(const struct fg_grants *g, fg_av av)
 {
 	for (uint32_t i = 0; i < g->conf.slots; i++) {
 		const struct fg_slot *s = &g->slot[i];
@@ -140,13 +142,13 @@
 	return false;
 }
 
-static bool may_evict(const struct fg_grants *g, const struct fg_slot *s)
+static bool can_evict(const struct fg_grants *g, const struct fg_slot *s)
 {
 	return s->state == FG_SLOT_READY && is_unused(g, s) &&
-	       !has_held(g, s->av);
+	       !has_held_request(g, s->av);
 }
 
-static int32_t pick_empty(const struct fg_grants *g)
+static int32_t pick_empty_slot(const struct fg_grants *g)
 {
 	for (uint32_t i = 0; i < g->conf.slots; i++)
 		if (g->slot[i].state == FG_SLOT_EMPTY &&
@@ -165,7 +167,7 @@
 		const struct fg_slot *s = &g->slot[i];
 		double value;
 
-		if (!may_evict(g, s))
+		if (!can_evict(g, s))
 			continue;
 		if (!fg_av_none(prefer) && fg_av_equal(s->av, prefer))
 			return (int32_t)i;
@@ -198,10 +200,10 @@
 		return FG_LOAD_START_LEAVING;
 	if (fg_grants_is_recovering(g, now))
 		return FG_LOAD_START_RECOVERING;
-	if (fg_grants_find(g, av, FG_SLOT_READY) >= 0 ||
-	    fg_grants_find(g, av, FG_SLOT_LOADING) >= 0)
+	if (fg_grants_find_slot(g, av, FG_SLOT_READY) >= 0 ||
+	    fg_grants_find_slot(g, av, FG_SLOT_LOADING) >= 0)
 		return FG_LOAD_START_PRESENT;
-	i = pick_empty(g);
+	i = pick_empty_slot(g);
 	if (i < 0)
 		i = pick_victim(g, prefer, score, arg);
 	if (i < 0)
@@ -220,10 +222,10 @@
 	return FG_LOAD_START_OK;
 }
 
-static void taint(struct fg_slot *s, fg_ms now, fg_ms until)
+static void taint_slot(struct fg_slot *s, fg_ms now, fg_ms until)
 {
 	s->state = FG_SLOT_TAINTED;
-	s->want = s->av;
+	s->incoming = s->av;
 	s->av = (fg_av){ 0, 0 };
 	s->expects_empty = false;
 	s->since = now;
@@ -241,15 +243,16 @@
 		return;
 	if (status == FG_ORDER_FENCED)
 		g->fenced = true;
-	if (status == FG_ORDER_DONE && g->seen_fence < g->conf.fence)
-		g->seen_fence = g->conf.fence;
+	if (status == FG_ORDER_DONE && g->engine_fence < g->conf.fence)
+		g->engine_fence = g->conf.fence;
 	if (status == FG_ORDER_LOST) {
-		taint(s, now, now + life_ms);
+		taint_slot(s, now, now + life_ms);
 		return;
 	}
-	/* Done before or after the restart: the next state tells which. */
+	/* After an engine restart during the load, DONE may refer to the time
+	 * before it; the next engine state shows what the slot holds. */
 	if (status != FG_ORDER_DONE || s->epoch_changed) {
-		taint(s, now, now);
+		taint_slot(s, now, now);
 		return;
 	}
 	s->state = FG_SLOT_READY;
@@ -257,12 +260,12 @@
 	s->since = now;
 	s->last_use = now;
 	s->running = 0;
-	s->running_at = now;
-	s->strays_since = FG_MS_NEVER;
+	s->running_asked_at = now;
+	s->orphans_since = FG_MS_NEVER;
 	fg_grants_note_change(g);
 }
 
-/* ---- Reading ---- */
+/* ---- Leaving and accessors ---- */
 
 void fg_grants_set_leaving(struct fg_grants *g)
 {
@@ -296,7 +299,7 @@
 	assert(slot < g->conf.slots);
 	s = &g->slot[slot];
 	view.state = s->state;
-	view.av = s->state == FG_SLOT_TAINTED ? s->want : s->av;
+	view.av = s->state == FG_SLOT_TAINTED ? s->incoming : s->av;
 	view.pins = s->pins;
 	view.last_use = s->last_use;
 	view.since = s->since;
@@ -305,7 +308,7 @@
 
 bool fg_grants_has_adapter(const struct fg_grants *g, fg_av av)
 {
-	return fg_grants_find(g, av, FG_SLOT_READY) >= 0;
+	return fg_grants_find_slot(g, av, FG_SLOT_READY) >= 0;
 }
 
 void fg_grants_fill_resident(const struct fg_grants *g, fg_resident *out)
--- a/lib/grant/fg_grant_recover.c
+++ b/lib/grant/fg_grant_recover.c
@@ -1,4 +1,4 @@
-/* The engine's own state, tainted slots, and the recovery of a new owner. */
+/* Engine state, tainted slots, and the recovery of a new owner. */
 #include "grant/fg_grant_priv.h"
 
 #include <assert.h>
@@ -11,9 +11,9 @@
 		return false;
 	if (!g->have_state)
 		return true;
-	if (now >= g->recover_end)
+	if (now >= g->recovery_end)
 		return false;
-	return !g->expected || g_hash_table_size(g->peers) > 0;
+	return !g->peers_known || g_hash_table_size(g->awaited_peers) > 0;
 }
 
 void fg_grants_check_recovery(struct fg_grants *g, fg_ms now)
@@ -24,23 +24,23 @@
 
 bool fg_grants_needs_fence(const struct fg_grants *g)
 {
-	return g->checks_fence && g->seen_fence < g->conf.fence;
+	return g->checks_fence && g->engine_fence < g->conf.fence;
 }
 
-bool fg_grants_safe(const struct fg_grants *g, fg_ms now)
+bool fg_grants_can_grant(const struct fg_grants *g, fg_ms now)
 {
 	if (!g->have_state)
 		return false;
-	/* An order of the last owner passes until the engine knows our fence,
-	 * or until the order is too old to arrive. */
-	return !fg_grants_needs_fence(g) || now >= g->recover_end;
+	/* The engine obeys orders of the last owner until it has seen this
+	 * owner's fence, or until such orders are too old to arrive. */
+	return !fg_grants_needs_fence(g) || now >= g->recovery_end;
 }
 
 void fg_grants_await_peers(struct fg_grants *g, const uint64_t *peers, size_t n)
 {
-	g->expected = true;
+	g->peers_known = true;
 	for (size_t i = 0; i < n; i++)
-		g_hash_table_add(g->peers,
+		g_hash_table_add(g->awaited_peers,
 				 g_memdup2(&peers[i], sizeof(*peers)));
 }
 
@@ -51,7 +51,7 @@
 	gpointer id;
 	size_t n = 0;
 
-	g_hash_table_iter_init(&it, g->peers);
+	g_hash_table_iter_init(&it, g->awaited_peers);
 	while (n < max && g_hash_table_iter_next(&it, &id, NULL))
 		ids[n++] = *(const uint64_t *)id;
 	return n;
@@ -59,13 +59,13 @@
 
 void fg_grants_on_peer_gone(struct fg_grants *g, fg_ms now, uint64_t peer)
 {
-	if (g_hash_table_remove(g->peers, &peer))
-		fg_grants_expect_strays(g, now);
+	if (g_hash_table_remove(g->awaited_peers, &peer))
+		fg_grants_expect_orphans(g, now);
 	fg_grants_check_recovery(g, now);
 }
 
-/* The slot whose content a grant for av uses. */
-static int32_t slot_of(const struct fg_grants *g, fg_av av)
+/* Returns the slot that a grant for av uses; -1 if there is none. */
+static int32_t find_slot_of(const struct fg_grants *g, fg_av av)
 {
 	for (uint32_t i = 0; i < g->conf.slots; i++) {
 		const struct fg_slot *s = &g->slot[i];
@@ -78,8 +78,8 @@
 	return -1;
 }
 
-static void add_told(struct fg_grants *g, fg_ms now, uint64_t peer,
-		     const fg_grant_info *info)
+static void add_peer_grant(struct fg_grants *g, fg_ms now, uint64_t peer,
+			   const fg_grant_info *info)
 {
 	struct fg_req_key id = { 0, info->grant };
 	struct fg_req_key key = { peer, info->req };
@@ -91,7 +91,7 @@
 		return;
 	if (g_hash_table_contains(g->by_key, &key))
 		return;
-	if (fg_grants_ended(g, id) || fg_grants_ended(g, key))
+	if (fg_grants_has_ended(g, id) || fg_grants_has_ended(g, key))
 		return;
 	rec = g_new0(struct fg_grant_rec, 1);
 	rec->id = info->grant;
@@ -99,10 +99,10 @@
 	rec->av = info->av;
 	rec->deadline = now + info->left_ms + FG_EXPIRE_GRACE_MS;
 	rec->slot = FG_SLOT_NOT_KNOWN;
-	fg_grants_insert(g, rec);
-	slot = slot_of(g, info->av);
+	fg_grants_add_grant(g, rec);
+	slot = find_slot_of(g, info->av);
 	if (slot >= 0)
-		fg_grants_pin(g, rec, slot);
+		fg_grants_pin_slot(g, rec, slot);
 	else if (g->have_state)
 		rec->slot = FG_SLOT_GONE;
 }
@@ -111,8 +111,8 @@
 			      const fg_grant_info *infos, size_t n)
 {
 	for (size_t i = 0; i < n; i++)
-		add_told(g, now, peer, &infos[i]);
-	g_hash_table_remove(g->peers, &peer);
+		add_peer_grant(g, now, peer, &infos[i]);
+	g_hash_table_remove(g->awaited_peers, &peer);
 	fg_grants_check_recovery(g, now);
 }
 
@@ -130,8 +130,8 @@
 		s = &g->slot[in->slot];
 		if (now + in->life_ms > s->taint_until)
 			s->taint_until = now + in->life_ms;
-		/* Orders for one slot are given one after the other: once the
-		 * newest is seen done, the older ones are over. */
+		/* Orders for one slot are sent one after the other: once the
+		 * newest has taken effect, the older ones have ended. */
 		if (s->state == FG_SLOT_TAINTED && in->id < newest[in->slot])
 			continue;
 		newest[in->slot] = in->id;
@@ -140,7 +140,7 @@
 		s->state = FG_SLOT_TAINTED;
 		s->av = (fg_av){ 0, 0 };
 		s->victim = in->victim;
-		s->want = in->av;
+		s->incoming = in->av;
 		s->expects_empty = fg_av_none(in->av);
 		s->since = now - 1;
 	}
@@ -148,7 +148,7 @@
 
 /* ---- The engine's state ---- */
 
-/* Grants of another adapter lose their pin on the slot. */
+/* Removes the slot's pins of grants for other adapters than av. */
 static void unpin_others(struct fg_grants *g, fg_ms now, int32_t slot, fg_av av)
 {
 	GHashTableIter it;
@@ -159,11 +159,12 @@
 		struct fg_grant_rec *rec = value;
 
 		if (rec->slot == slot && !fg_av_equal(rec->av, av))
-			fg_grants_unpin(g, now, rec);
+			fg_grants_unpin_slot(g, now, rec);
 	}
 }
 
-static void set_content(struct fg_grants *g, fg_ms now, int32_t slot, fg_av av)
+static void set_slot_content(struct fg_grants *g, fg_ms now, int32_t slot,
+			     fg_av av)
 {
 	struct fg_slot *s = &g->slot[slot];
 	enum fg_slot_state state =
@@ -175,77 +176,78 @@
 	s->state = state;
 	s->av = av;
 	s->victim = (fg_av){ 0, 0 };
-	s->want = (fg_av){ 0, 0 };
+	s->incoming = (fg_av){ 0, 0 };
 	s->since = now;
 	s->last_use = now;
 	fg_grants_note_change(g);
 }
 
-/* Has the open order on a tainted slot been seen done, or died? */
-static bool taint_over(const struct fg_slot *s, fg_ms asked_at, bool loading,
-		       fg_av shown)
+/* True if the open order on a tainted slot has taken effect, or can no longer
+ * arrive. */
+static bool is_taint_over(const struct fg_slot *s, fg_ms asked_at, bool loading,
+			  fg_av content)
 {
 	if (loading)
 		return false;
 	if (asked_at >= s->taint_until)
 		return true;
 	if (s->expects_empty)
-		return fg_av_none(shown);
-	return !fg_av_none(s->want) && fg_av_equal(shown, s->want);
+		return fg_av_none(content);
+	return !fg_av_none(s->incoming) && fg_av_equal(content, s->incoming);
 }
 
-static void hide_while_loading(struct fg_grants *g, fg_ms now, int32_t slot,
-			       fg_av coming)
+static void taint_while_loading(struct fg_grants *g, fg_ms now, int32_t slot,
+				fg_av incoming)
 {
 	struct fg_slot *s = &g->slot[slot];
 
 	if (s->state == FG_SLOT_READY) {
-		unpin_others(g, now, slot, coming);
+		unpin_others(g, now, slot, incoming);
 		fg_grants_note_change(g);
 	}
 	s->state = FG_SLOT_TAINTED;
 	s->av = (fg_av){ 0, 0 };
 	s->victim = (fg_av){ 0, 0 };
-	s->want = coming;
+	s->incoming = incoming;
 	s->expects_empty = false;
 	s->taint_until = now;
 	s->since = now;
 }
 
-static void reconcile(struct fg_grants *g, fg_ms now, fg_ms asked_at,
-		      int32_t slot, const struct fg_engine_slot *es,
-		      fg_av shown)
+static void reconcile_slot(struct fg_grants *g, fg_ms now, fg_ms asked_at,
+			   int32_t slot, const struct fg_engine_slot *es,
+			   fg_av content)
 {
 	struct fg_slot *s = &g->slot[slot];
 
 	if (asked_at <= s->since)
 		return;
 	s->running = es->running;
-	s->running_at = asked_at;
-	if (es->running == 0 && s->strays_since <= asked_at)
-		s->strays_since = FG_MS_NEVER;
+	s->running_asked_at = asked_at;
+	if (es->running == 0 && s->orphans_since <= asked_at)
+		s->orphans_since = FG_MS_NEVER;
 	switch (s->state) {
 	case FG_SLOT_LOADING:
 		break;
 	case FG_SLOT_TAINTED:
-		if (taint_over(s, asked_at, es->loading, shown)) {
-			set_content(g, now, slot, shown);
+		if (is_taint_over(s, asked_at, es->loading, content)) {
+			set_slot_content(g, now, slot, content);
 		} else if (!es->loading) {
-			unpin_others(g, now, slot, shown);
-			s->victim = shown;
+			unpin_others(g, now, slot, content);
+			s->victim = content;
 		}
 		break;
 	default:
 		if (es->loading)
-			hide_while_loading(g, now, slot, shown);
+			taint_while_loading(g, now, slot, content);
 		else
-			set_content(g, now, slot, shown);
+			set_slot_content(g, now, slot, content);
 		break;
 	}
 }
 
-/* Pins grants that were told before the content of the slots was known. */
-static void place_told(struct fg_grants *g)
+/* Pins the grants that peers reported before the slots' content was known. */
+static void pin_peer_grants(struct fg_grants *g)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -257,43 +259,46 @@
 
 		if (rec->slot != FG_SLOT_NOT_KNOWN)
 			continue;
-		slot = slot_of(g, rec->av);
+		slot = find_slot_of(g, rec->av);
 		if (slot >= 0)
-			fg_grants_pin(g, rec, slot);
+			fg_grants_pin_slot(g, rec, slot);
 		else
 			rec->slot = FG_SLOT_GONE;
 	}
 }
 
-/* Ends the grants of dead holders whose slot runs nothing any more. */
-static void end_dead(struct fg_grants *g, fg_ms now, fg_ms asked_at)
+/* Ends the grants of dead holders on slots where the engine runs nothing. */
+static void end_dead_holder_grants(struct fg_grants *g, fg_ms now,
+				   fg_ms asked_at)
 {
 	GHashTableIter it;
 	gpointer value;
-	GPtrArray *over = g_ptr_array_new();
+	GPtrArray *finished = g_ptr_array_new();
 
 	g_hash_table_iter_init(&it, g->grants);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct fg_grant_rec *rec = value;
 		const struct fg_slot *s;
 
-		if (!rec->dead || asked_at < rec->dead_at + FG_DEAD_GRACE_MS)
+		if (!rec->holder_dead ||
+		    asked_at < rec->holder_dead_at + FG_ORPHAN_GRACE_MS)
 			continue;
 		s = rec->slot >= 0 ? &g->slot[rec->slot] : NULL;
-		if (s == NULL || (s->running_at == asked_at && s->running == 0))
-			g_ptr_array_add(over, value);
+		if (s == NULL ||
+		    (s->running_asked_at == asked_at && s->running == 0))
+			g_ptr_array_add(finished, value);
 	}
-	for (guint i = 0; i < over->len; i++)
-		fg_grants_end(g, now, over->pdata[i]);
-	g_ptr_array_free(over, TRUE);
+	for (guint i = 0; i < finished->len; i++)
+		fg_grants_end_grant(g, now, finished->pdata[i]);
+	g_ptr_array_free(finished, TRUE);
 }
 
-static void note_engine(struct fg_grants *g, const struct fg_engine_state *st,
-			bool restarted)
+static void update_engine_info(struct fg_grants *g,
+			       const struct fg_engine_state *st, bool restarted)
 {
 	g->checks_fence = st->checks_fence;
-	if (restarted || st->fence > g->seen_fence)
-		g->seen_fence = st->fence;
+	if (restarted || st->fence > g->engine_fence)
+		g->engine_fence = st->fence;
 	if (st->checks_fence && st->fence > g->conf.fence)
 		g->fenced = true;
 	if (g->engine_leaving != st->leaving) {
@@ -314,26 +319,26 @@
 {
 	bool restarted = g->epoch != 0 && st->epoch != g->epoch;
 
-	if (asked_at < g->last_asked)
+	if (asked_at < g->last_asked_at)
 		return false;
-	g->last_asked = asked_at;
+	g->last_asked_at = asked_at;
 	g->epoch = st->epoch;
-	note_engine(g, st, restarted);
+	update_engine_info(g, st, restarted);
 	for (uint32_t i = 0; i < g->conf.slots; i++) {
 		const struct fg_engine_slot *es = &st->slot[i];
-		fg_av shown = { 0, 0 };
+		fg_av content = { 0, 0 };
 
 		if (restarted && g->slot[i].state == FG_SLOT_LOADING)
 			g->slot[i].epoch_changed = true;
 		if (i < st->slots && es->adapter[0] != '\0')
-			shown = find(arg, es->adapter, es->version);
-		reconcile(g, now, asked_at, (int32_t)i, es, shown);
+			content = find(arg, es->adapter, es->version);
+		reconcile_slot(g, now, asked_at, (int32_t)i, es, content);
 	}
 	if (!g->have_state) {
 		g->have_state = true;
-		place_told(g);
+		pin_peer_grants(g);
 	}
-	end_dead(g, now, asked_at);
+	end_dead_holder_grants(g, now, asked_at);
 	fg_grants_check_recovery(g, now);
 	return restarted;
 }
--- a/tests/unit/grant_fixture.c
+++ b/tests/unit/grant_fixture.c
@@ -16,15 +16,15 @@
 	return (fg_av){ adapter, 1 };
 }
 
-/* Adapters are named by their number in the fake engine's state. */
-fg_av gfx_find(void *arg, const char *adapter, const char *version)
+fg_av gfx_find_av(void *arg, const char *adapter, const char *version)
 {
 	(void)arg;
 	(void)version;
 	return gfx_av((uint32_t)g_ascii_strtoull(adapter, NULL, 10));
 }
 
-struct fg_engine_state gfx_engine(uint32_t a, uint32_t b, uint32_t running_a)
+struct fg_engine_state gfx_engine_state(uint32_t a, uint32_t b,
+					uint32_t running_a)
 {
 	struct fg_engine_state st = { .epoch = 1, .slots = 2, .batch = 2 };
 
@@ -36,24 +36,24 @@
 	return st;
 }
 
-void gfx_see(struct fg_grants *g, fg_ms now, struct fg_engine_state st)
+void gfx_report_state(struct fg_grants *g, fg_ms now, struct fg_engine_state st)
 {
-	fg_grants_on_engine_state(g, now, now, &st, gfx_find, NULL);
+	fg_grants_on_engine_state(g, now, now, &st, gfx_find_av, NULL);
 }
 
-fg_grant_status gfx_ask(struct fg_grants *g, fg_ms now, uint64_t holder,
-			uint64_t req, uint32_t adapter, uint64_t *grant)
+fg_grant_status gfx_request(struct fg_grants *g, fg_ms now, uint64_t holder,
+			    uint64_t req, uint32_t adapter, uint64_t *grant)
 {
-	struct fg_grant_request ask = { .holder = holder,
-					.req_id = req,
-					.av = gfx_av(adapter),
-					.cls = FG_CLASS_INTERACTIVE,
-					.budget_ms = 5000 };
+	struct fg_grant_request request = { .holder = holder,
+					    .req_id = req,
+					    .av = gfx_av(adapter),
+					    .cls = FG_CLASS_INTERACTIVE,
+					    .budget_ms = 5000 };
 
-	return fg_grants_request(g, now, &ask, grant);
+	return fg_grants_request(g, now, &request, grant);
 }
 
-enum fg_load_start_result gfx_load_start(struct fg_grants *g, fg_ms now,
+enum fg_load_start_result gfx_start_load(struct fg_grants *g, fg_ms now,
 					 uint32_t a)
 {
 	uint32_t slot;
@@ -63,7 +63,7 @@
 				    &slot, &victim);
 }
 
-void gfx_load(struct fg_grants *g, fg_ms now, uint32_t adapter)
+void gfx_load_adapter(struct fg_grants *g, fg_ms now, uint32_t adapter)
 {
 	uint32_t slot;
 	fg_av victim;
@@ -74,22 +74,21 @@
 	fg_grants_finish_load(g, now, slot, FG_ORDER_DONE, LIFE_MS);
 }
 
-/* Two slots with adapters 1 and 2. */
-struct fg_grants *gfx_loaded(void)
+struct fg_grants *gfx_new_loaded(void)
 {
 	struct fg_grants *g = fg_grants_new(&grant_conf, 0, false);
 
-	gfx_load(g, 1, 1);
-	gfx_load(g, 2, 2);
+	gfx_load_adapter(g, 1, 1);
+	gfx_load_adapter(g, 2, 2);
 	return g;
 }
 
-void gfx_count_reply(void *arg, const struct fg_grant_request *ask,
+void gfx_count_reply(void *arg, const struct fg_grant_request *request,
 		     fg_grant_status status, uint64_t grant)
 {
 	uint32_t *counts = arg;
 
-	(void)ask;
+	(void)request;
 	g_assert_true((status == FG_GRANT_OK) == (grant != 0));
 	counts[status]++;
 }
--- a/tests/unit/test_grant_sim.c
+++ b/tests/unit/test_grant_sim.c
@@ -1,11 +1,11 @@
 /*
- * Seeded interleavings of lib/grant with a small engine: grants, releases,
- * loads with lost outcomes, states that arrive late, restarts, deaths of
- * holders and changes of the owner.
+ * Seeded simulation of lib/grant with a small engine: grants, releases, loads
+ * with lost outcomes, late engine states, engine restarts, deaths of holders
+ * and changes of the owner.
  *
- * Invariants: the engine never replaces what a request runs on; a grant is
- * given only on a READY slot with its adapter; pins add up; every held ask
- * is answered once.
+ * Invariants: the engine never replaces an adapter that a request runs on; a
+ * grant is given only for a READY slot with its adapter; the slots' pins add up
+ * to the total; every held request is answered exactly once.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -23,12 +23,12 @@
 #define LIFE_MS 400
 #define GRANT_MAX_MS 3000
 #define BUDGET_MS 2000
-#define FLIGHT_MS 300 /* a request reaches the engine within this */
+#define FLIGHT_MS 300 /* longest time of a request on its way to the engine */
 
 struct job {
 	uint64_t holder, req, grant;
 	fg_av av;
-	fg_ms starts, ends; /* at the engine */
+	fg_ms starts, ends; /* at the engine; starts is -1 once it has */
 	bool running, held, holder_dead;
 	int32_t slot;
 };
@@ -37,8 +37,9 @@
 	uint32_t slot;
 	fg_av av, victim;
 	uint64_t fence, id;
-	fg_ms at, life_end; /* when the engine obeys; -1: never */
-	bool known;	    /* the owner was told the outcome */
+	fg_ms at; /* when the engine applies the order; -1: never */
+	fg_ms expires_at;
+	bool owner_informed; /* the outcome was reported to the owner */
 };
 
 struct poll {
@@ -55,12 +56,12 @@
 	bool checks_fence;
 	fg_av content[SLOTS];
 	GArray *jobs, *orders;
-	uint64_t holder[HOLDERS]; /* ids; a new one after each death */
+	uint64_t holder[HOLDERS]; /* ids; replaced when the holder dies */
 	struct poll poll;
 	uint32_t granted, answered, held;
 };
 
-static uint64_t roll(struct world *w, uint64_t n)
+static uint64_t random_below(struct world *w, uint64_t n)
 {
 	return fg_rand_below(&w->rand, n);
 }
@@ -78,7 +79,7 @@
 
 /* ---- The engine ---- */
 
-static void obey(struct world *w, const struct order *o)
+static void apply_order(struct world *w, const struct order *o)
 {
 	if (w->checks_fence && o->fence < w->engine_fence)
 		return;
@@ -100,7 +101,7 @@
 	}
 }
 
-static struct fg_engine_state snapshot(struct world *w)
+static struct fg_engine_state engine_state(struct world *w)
 {
 	struct fg_engine_state st = { .epoch = w->epoch,
 				      .slots = SLOTS,
@@ -118,14 +119,14 @@
 	return st;
 }
 
-static fg_av find(void *arg, const char *adapter, const char *version)
+static fg_av find_av(void *arg, const char *adapter, const char *version)
 {
 	(void)arg;
 	(void)version;
 	return (fg_av){ (u_int)g_ascii_strtoull(adapter, NULL, 10), 1 };
 }
 
-static void restart(struct world *w)
+static void restart_engine(struct world *w)
 {
 	w->epoch++;
 	w->engine_fence = 0;
@@ -149,16 +150,16 @@
 	g_assert_true(ready);
 	j->grant = grant;
 	j->held = false;
-	j->starts = w->now + (fg_ms)roll(w, FLIGHT_MS);
-	j->ends = j->starts + (fg_ms)roll(w, 800);
+	j->starts = w->now + (fg_ms)random_below(w, FLIGHT_MS);
+	j->ends = j->starts + (fg_ms)random_below(w, 800);
 	w->granted++;
 }
 
-static void on_reply(void *arg, const struct fg_grant_request *ask,
+static void on_reply(void *arg, const struct fg_grant_request *request,
 		     fg_grant_status status, uint64_t grant)
 {
 	struct world *w = arg;
-	struct job *j = find_job(w, ask->holder, ask->req_id);
+	struct job *j = find_job(w, request->holder, request->req_id);
 
 	g_assert_nonnull(j);
 	g_assert_true(j->held);
@@ -168,33 +169,34 @@
 	j->held = false;
 }
 
-static void do_ask(struct world *w)
+static void do_request(struct world *w)
 {
-	struct job j = { .holder = w->holder[roll(w, HOLDERS)],
+	struct job j = { .holder = w->holder[random_below(w, HOLDERS)],
 			 .req = ++w->next_req,
-			 .av = { 1 + (u_int)roll(w, ADAPTERS), 1 },
+			 .av = { 1 + (u_int)random_below(w, ADAPTERS), 1 },
 			 .starts = -1 };
-	struct fg_grant_request ask = {
+	struct fg_grant_request request = {
 		j.holder,  j.req,
-		j.av,	   FG_CLASS_INTERACTIVE + roll(w, 2),
-		BUDGET_MS, roll(w, 3) == 0 ? 500 : 0
+		j.av,	   FG_CLASS_INTERACTIVE + random_below(w, 2),
+		BUDGET_MS, random_below(w, 3) == 0 ? 500 : 0
 	};
 	fg_grant_status status;
 	uint64_t grant;
 
 	g_array_append_val(w->jobs, j);
-	status = fg_grants_request(w->g, w->now, &ask, &grant);
+	status = fg_grants_request(w->g, w->now, &request, &grant);
 	if (status == FG_GRANT_OK)
 		on_grant(w, find_job(w, j.holder, j.req), grant);
 	else if (status == FG_GRANT_HELD)
 		find_job(w, j.holder, j.req)->held = true;
 	w->held += status == FG_GRANT_HELD;
-	/* A repeat gets the same answer. */
-	if (status == FG_GRANT_OK && roll(w, 4) == 0) {
+	/* A repeated request gets the same grant. */
+	if (status == FG_GRANT_OK && random_below(w, 4) == 0) {
 		uint64_t again;
 
-		g_assert_cmpint(fg_grants_request(w->g, w->now, &ask, &again),
-				==, FG_GRANT_OK);
+		g_assert_cmpint(
+			fg_grants_request(w->g, w->now, &request, &again), ==,
+			FG_GRANT_OK);
 		g_assert_cmpuint(again, ==, grant);
 	}
 }
@@ -205,7 +207,7 @@
 
 	if (w->jobs->len == 0)
 		return;
-	j = JOB(w, roll(w, w->jobs->len));
+	j = JOB(w, random_below(w, w->jobs->len));
 	if (j->running || j->holder_dead || j->starts >= 0)
 		return;
 	fg_grants_cancel(w->g, w->now, j->holder, j->req);
@@ -216,7 +218,7 @@
 
 static void do_holder_dead(struct world *w)
 {
-	uint64_t *slot = &w->holder[roll(w, HOLDERS)];
+	uint64_t *slot = &w->holder[random_below(w, HOLDERS)];
 
 	for (guint i = 0; i < w->jobs->len; i++) {
 		struct job *j = JOB(w, i);
@@ -235,26 +237,28 @@
 
 static void do_load(struct world *w)
 {
-	struct order o = { .av = { 1 + (u_int)roll(w, ADAPTERS), 1 },
+	struct order o = { .av = { 1 + (u_int)random_below(w, ADAPTERS), 1 },
 			   .fence = w->fence };
 
 	if (fg_grants_start_load(w->g, w->now, o.av, (fg_av){ 0, 0 }, NULL,
 				 NULL, &o.slot, &o.victim) != FG_LOAD_START_OK)
 		return;
 	o.id = ++w->next_order;
-	o.life_end = w->now + LIFE_MS;
-	o.at = roll(w, 8) == 0 ? -1 : w->now + (fg_ms)roll(w, LIFE_MS);
+	o.expires_at = w->now + LIFE_MS;
+	o.at = random_below(w, 8) == 0
+		       ? -1
+		       : w->now + (fg_ms)random_below(w, LIFE_MS);
 	g_array_append_val(w->orders, o);
 }
 
-/* The owner hears DONE once it is done, or at any time that it is lost. */
-static void hear(struct world *w, struct order *o, bool obeyed)
+/* Reports DONE after the order was applied, or LOST at any time. */
+static void report_outcome(struct world *w, struct order *o, bool applied)
 {
-	bool done = obeyed && roll(w, 3) > 0;
+	bool done = applied && random_below(w, 3) > 0;
 
-	if (o->known || (!done && roll(w, 10) > 0))
+	if (o->owner_informed || (!done && random_below(w, 10) > 0))
 		return;
-	o->known = true;
+	o->owner_informed = true;
 	fg_grants_finish_load(w->g, w->now, o->slot,
 			      done ? FG_ORDER_DONE : FG_ORDER_LOST, LIFE_MS);
 }
@@ -263,26 +267,26 @@
 {
 	for (guint i = w->orders->len; i-- > 0;) {
 		struct order *o = ORDER(w, i);
-		bool obeyed = false;
+		bool applied = false;
 
 		if (o->at >= 0 && o->at <= w->now) {
-			obeyed =
+			applied =
 				!w->checks_fence || o->fence >= w->engine_fence;
-			obey(w, o);
+			apply_order(w, o);
 			o->at = -1;
 		}
-		hear(w, o, obeyed);
-		if (o->life_end < w->now && o->at < 0 && !o->known) {
-			o->known = true;
+		report_outcome(w, o, applied);
+		if (o->expires_at < w->now && o->at < 0 && !o->owner_informed) {
+			o->owner_informed = true;
 			fg_grants_finish_load(w->g, w->now, o->slot,
 					      FG_ORDER_LOST, LIFE_MS);
 		}
-		if (o->known && o->at < 0)
+		if (o->owner_informed && o->at < 0)
 			g_array_remove_index_fast(w->orders, i);
 	}
 }
 
-static void tell_grants(struct world *w, uint64_t holder)
+static void report_grants(struct world *w, uint64_t holder)
 {
 	fg_grant_info infos[64];
 	size_t n = 0;
@@ -297,8 +301,8 @@
 	fg_grants_on_peer_grants(w->g, w->now, holder, infos, n);
 }
 
-/* The owner dies and the next one starts in recovery. Nothing of holders that
- * died with it is known any more. */
+/* The owner dies and the next one starts in recovery. The grants of holders
+ * that died with the old owner are unknown to the new one. */
 static void do_new_owner(struct world *w)
 {
 	struct fg_intent in[FG_INTENTS_MAX];
@@ -313,7 +317,7 @@
 	for (guint i = 0; i < w->orders->len; i++) {
 		struct order *o = ORDER(w, i);
 
-		o->known = true;
+		o->owner_informed = true;
 		if (w->checks_fence || n == FG_INTENTS_MAX)
 			continue;
 		in[n++] = (struct fg_intent){ o->id, o->slot,  o->victim,
@@ -335,15 +339,15 @@
 	if (!w->poll.open) {
 		w->poll.open = true;
 		w->poll.asked = w->now;
-		w->poll.st = snapshot(w);
+		w->poll.st = engine_state(w);
 		return;
 	}
-	/* What the engine answered may be newer than the asking. */
-	if (roll(w, 2) == 0)
-		w->poll.st = snapshot(w);
+	/* The state may be newer than the time it was asked for. */
+	if (random_below(w, 2) == 0)
+		w->poll.st = engine_state(w);
 	w->poll.open = false;
 	fg_grants_on_engine_state(w->g, w->now, w->poll.asked, &w->poll.st,
-				  find, NULL);
+				  find_av, NULL);
 }
 
 static void raise_fence(struct world *w)
@@ -372,7 +376,7 @@
 	}
 }
 
-static void check(struct world *w)
+static void check_pins(struct world *w)
 {
 	uint32_t pins = 0;
 
@@ -386,12 +390,12 @@
 	g_assert_cmpuint(pins, ==, fg_grants_in_use(w->g));
 }
 
-static void step(struct world *w)
+static void run_step(struct world *w)
 {
-	w->now += (fg_ms)roll(w, 40);
+	w->now += (fg_ms)random_below(w, 40);
 	run_orders(w);
 	run_jobs(w);
-	switch (roll(w, 40)) {
+	switch (random_below(w, 40)) {
 	case 0:
 		do_holder_dead(w);
 		break;
@@ -399,11 +403,11 @@
 		do_new_owner(w);
 		break;
 	case 2:
-		if (roll(w, 4) == 0)
-			restart(w);
+		if (random_below(w, 4) == 0)
+			restart_engine(w);
 		break;
 	case 3 ... 6:
-		tell_grants(w, w->holder[roll(w, HOLDERS)]);
+		report_grants(w, w->holder[random_below(w, HOLDERS)]);
 		break;
 	case 7 ... 8:
 		raise_fence(w);
@@ -418,11 +422,11 @@
 		do_poll(w);
 		break;
 	default:
-		do_ask(w);
+		do_request(w);
 		break;
 	}
 	fg_grants_serve_held(w->g, w->now, on_reply, w);
-	check(w);
+	check_pins(w);
 }
 
 static void run_seed(uint64_t seed, uint32_t *granted)
@@ -439,7 +443,7 @@
 		w.holder[h] = (uint64_t)h + 1;
 	w.g = fg_grants_new(&conf, w.now, false);
 	for (int i = 0; i < STEPS; i++)
-		step(&w);
+		run_step(&w);
 	w.now += BUDGET_MS;
 	fg_grants_serve_held(w.g, w.now, on_reply, &w);
 	g_assert_cmpuint(fg_grants_held(w.g), ==, 0);
@@ -458,7 +462,7 @@
 		g_test_message("seed %" G_GUINT64_FORMAT, seed);
 		run_seed(seed, &granted);
 	}
-	/* The interleavings must reach what they check. */
+	/* The simulation must give enough grants to be a test. */
 	g_assert_cmpuint(granted, >, SEEDS * 10);
 }
 
