--- a/lib/owner/fg_owner.c
+++ b/lib/owner/fg_owner.c
@@ -1,9 +1,9 @@
-/* Keys, tick and questions of the ownership. */
+/* Keys, hints, tick and accessors of the ownership. */
 #include "owner/fg_owner.h"
 
 #include "owner/fg_owner_internal.h"
 
-static void key_free(gpointer data)
+static void free_key(gpointer data)
 {
 	struct fg_own_key *k = data;
 
@@ -20,7 +20,7 @@
 	o->member = member;
 	fg_rand_seed(&o->rand, seed);
 	o->keys = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					key_free);
+					free_key);
 	o->ops = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
 				       g_free);
 	return o;
@@ -35,7 +35,7 @@
 	g_free(o);
 }
 
-struct fg_own_key *fg_owner_key(const struct fg_owner *o, uint64_t key)
+struct fg_own_key *fg_owner_find_key(const struct fg_owner *o, uint64_t key)
 {
 	return g_hash_table_lookup(o->keys, &key);
 }
@@ -53,7 +53,7 @@
 	if (type == FG_OA_GAINED) {
 		act.n_intents = k->n_intents;
 		for (size_t i = 0; i < k->n_intents; i++)
-			act.intents[i] = k->intents[i].in;
+			act.intents[i] = k->intents[i].intent;
 	}
 	o->emit(o->arg, &act);
 }
@@ -70,10 +70,10 @@
 	o->emit(o->arg, &act);
 }
 
-void fg_owner_lose(struct fg_owner *o, struct fg_own_key *k)
+void fg_owner_lose_key(struct fg_owner *o, struct fg_own_key *k)
 {
 	k->state = FG_OWN_OTHER;
-	fg_owner_intents_fail(o, k);
+	fg_owner_fail_intents(o, k);
 	fg_owner_emit_act(o, FG_OA_LOST, k);
 }
 
@@ -82,7 +82,7 @@
 void fg_owner_set_key(struct fg_owner *o, uint64_t key, const char *region,
 		      const char *dc, bool leaving)
 {
-	struct fg_own_key *k = fg_owner_key(o, key);
+	struct fg_own_key *k = fg_owner_find_key(o, key);
 
 	if (k == NULL) {
 		k = g_new0(struct fg_own_key, 1);
@@ -99,8 +99,8 @@
 void fg_owner_remove_key(struct fg_owner *o, fg_ms now, uint64_t key,
 			 fg_owner_emit emit, void *arg)
 {
-	struct fg_own_key *k = fg_owner_key(o, key);
-	struct fg_oop oop = { .kind = FG_OOP_DROP };
+	struct fg_own_key *k = fg_owner_find_key(o, key);
+	struct fg_owner_inflight inflight = { .kind = FG_OWNER_OP_DROP };
 	struct fg_table_op *op;
 	char name[FG_ROW_KEY_MAX];
 
@@ -109,10 +109,10 @@
 	o->emit = emit;
 	o->arg = arg;
 	if (k->state == FG_OWN_MINE && k->row_version != 0) {
-		fg_owner_key_name(key, name, sizeof(name));
-		op = fg_owner_op(o, FG_OP_TXN, NULL);
+		fg_owner_format_row_key(key, name, sizeof(name));
+		op = fg_owner_new_op(o, FG_OP_TXN, NULL);
 		fg_table_op_write(op, name, k->row_version, NULL);
-		fg_owner_submit(o, now, op, &oop);
+		fg_owner_submit_op(o, now, op, &inflight);
 	}
 	g_hash_table_remove(o->keys, &key);
 }
@@ -121,28 +121,29 @@
 		      uint64_t owner, uint64_t fence, fg_owner_emit emit,
 		      void *arg)
 {
-	struct fg_own_key *k = fg_owner_key(o, key);
+	struct fg_own_key *k = fg_owner_find_key(o, key);
 
 	o->emit = emit;
 	o->arg = arg;
 	if (k == NULL || fence <= k->fence || owner == o->conf.self)
 		return;
 	if (k->state == FG_OWN_MINE || k->state == FG_OWN_RELEASING)
-		fg_owner_lose(o, k);
+		fg_owner_lose_key(o, k);
 	else if (k->state == FG_OWN_CLAIMING)
-		return; /* the claim's result will tell */
+		return; /* the claim's result decides */
 	k->owner = owner;
 	k->fence = fence;
-	k->learnt_at = now;
-	k->hinted = true;
+	k->known_since = now;
+	k->from_hint = true;
 	k->state = owner == 0 ? FG_OWN_FREE : FG_OWN_OTHER;
 	fg_owner_emit_act(o, FG_OA_CHANGED, k);
 }
 
 /* ---- Tick ---- */
 
-/* Our lease was lost, or won anew: what we owned is to be claimed anew. */
-static void follow_epoch(struct fg_owner *o, fg_ms now)
+/* When this instance's lease was lost or acquired again, all owned keys are
+ * lost and must be claimed again. */
+static void handle_lease_change(struct fg_owner *o, fg_ms now)
 {
 	uint64_t epoch = fg_member_epoch(o->member);
 	GHashTableIter it;
@@ -157,7 +158,7 @@
 		struct fg_own_key *k = value;
 
 		if (k->state == FG_OWN_MINE || k->state == FG_OWN_RELEASING)
-			fg_owner_lose(o, k);
+			fg_owner_lose_key(o, k);
 	}
 }
 
@@ -165,7 +166,7 @@
 {
 	o->emit = emit;
 	o->arg = arg;
-	follow_epoch(o, now);
+	handle_lease_change(o, now);
 	if (fg_member_standing(o->member, now) == FG_STANDING_JOINING)
 		return;
 	fg_owner_scan_tick(o, now);
@@ -177,12 +178,12 @@
 	fg_owner_write_tick(o, now);
 }
 
-/* ---- Questions ---- */
+/* ---- Accessors ---- */
 
 enum fg_own_state fg_owner_get_state(const struct fg_owner *o, uint64_t key,
 				     uint64_t *owner, uint64_t *fence)
 {
-	const struct fg_own_key *k = fg_owner_key(o, key);
+	const struct fg_own_key *k = fg_owner_find_key(o, key);
 
 	if (owner != NULL)
 		*owner = k != NULL ? k->owner : 0;
@@ -193,10 +194,10 @@
 
 bool fg_owner_may_act(const struct fg_owner *o, uint64_t key, fg_ms now)
 {
-	const struct fg_own_key *k = fg_owner_key(o, key);
+	const struct fg_own_key *k = fg_owner_find_key(o, key);
 
 	if (k == NULL || k->state != FG_OWN_MINE ||
-	    k->epoch != fg_member_epoch(o->member))
+	    k->claim_epoch != fg_member_epoch(o->member))
 		return false;
 	return fg_may_act(fg_member_standing(o->member, now));
 }
--- a/lib/owner/fg_owner.h
+++ b/lib/owner/fg_owner.h
@@ -1,26 +1,28 @@
 /*
- * fg_owner - one owner per endpoint, with a fencing number that only grows.
+ * fg_owner - ownership: one owner instance per endpoint, with a fencing number
+ * that only increases.
  *
- * Pure. Row owner/<endpoint id, 16 hex digits> =
+ * The row owner/<endpoint id, 16 hex digits> holds
  *   {"format":1,"owner":"<16 hex digits>","fence":N,"intents":[...]}
- * is changed by compare-and-set on its row version alone. An instance claims
- * an endpoint of its own region when it is the candidate and the row is
- * absent, handed over (owner 0), or held by an instance whose lease row is
- * gone (fg_member_gone()). An instance that lost its own lease claims anew
- * what it had. When the candidate does not claim for FG_OWNER_FALLBACK_MS,
- * any instance of the region may. The load broker of a region and base model
- * is owned the same way, under a key of its own.
+ * and is changed only by compare-and-set on its row version. An instance claims
+ * an endpoint of its own region when it is the candidate and the row is absent,
+ * handed over (owner 0), or held by an instance whose lease row is gone
+ * (fg_member_gone()). An instance that lost its own lease claims its former
+ * keys again. When the candidate does not claim for FG_OWNER_FALLBACK_MS, any
+ * instance of the region may. The load broker of a region and base model is
+ * owned in the same way, under its own key.
  *
- * Order intents: for an engine that ignores fencing numbers, each load or
- * eviction is written to the row before the order and removed after the
- * outcome is known. A new owner finds the open intents of its predecessor and
- * treats their slots as tainted (fg_grant.h) until the engine shows the old
- * order done or its life has passed.
+ * Order intents: for an engine that ignores fencing numbers, the owner writes
+ * an intent to the row before each load or eviction order, and removes it when
+ * the outcome is known. A new owner reads the open intents of its predecessor
+ * and treats their slots as tainted (fg_grant.h) until the engine shows the old
+ * order's effect or the order's life has passed. docs/design/ownership.md
+ * describes the failures that remain possible; they affect only engines that
+ * ignore fencing numbers.
  *
- * Each TABLE action must get exactly one result.
- *
- * What remains possible, for engines that ignore fencing numbers alone: see
- * docs/design/ownership.md.
+ * The module does no I/O and reads no clock. It emits actions through a
+ * callback; the caller passes the time. Each TABLE action must get exactly one
+ * result, passed to fg_owner_on_table().
  */
 #ifndef FG_OWNER_H
 #define FG_OWNER_H
@@ -42,31 +44,34 @@
 	fg_av victim; /* none for a load into an empty slot */
 	fg_av av;     /* none for a plain eviction */
 	uint64_t fence;
-	uint32_t life_ms; /* the order cannot arrive later than this */
+	uint32_t life_ms; /* time after which the order can no longer arrive */
 };
 
 enum fg_own_state {
-	FG_OWN_OTHER = 1,    /* somebody else, see owner */
-	FG_OWN_FREE = 2,     /* nobody */
-	FG_OWN_CLAIMING = 3, /* our write is on its way */
-	FG_OWN_MINE = 4,
+	FG_OWN_OTHER = 1,    /* another instance is the owner */
+	FG_OWN_FREE = 2,     /* no owner */
+	FG_OWN_CLAIMING = 3, /* this instance's claim is in flight */
+	FG_OWN_MINE = 4,     /* this instance is the owner */
 	FG_OWN_RELEASING = 5,
 };
 
 enum fg_owner_act_type {
+	/* Run `op` and pass its result to fg_owner_on_table(). */
 	FG_OA_TABLE = 1,
-	FG_OA_GAINED =
-		2,	/* key is ours with fence; intents of the last owner */
-	FG_OA_LOST = 3, /* key is no longer ours; stop orders and grants */
-	FG_OA_CHANGED = 4,	 /* owner of key is now `owner` */
-	FG_OA_INTENT_OK = 5,	 /* intent_id is stored: the order may go out */
-	FG_OA_INTENT_FAILED = 6, /* not stored: the order must not go out */
-	FG_OA_RELEASED = 7,	 /* handed over */
+	/* This instance owns `key` with `fence`; `intents` are the open ones
+	 * of the last owner. */
+	FG_OA_GAINED = 2,
+	/* `key` is no longer owned: send no more orders and grants for it. */
+	FG_OA_LOST = 3,
+	FG_OA_CHANGED = 4,	 /* the owner of `key` is now `owner` */
+	FG_OA_INTENT_OK = 5,	 /* intent stored: the order may be sent */
+	FG_OA_INTENT_FAILED = 6, /* intent not stored: send no order */
+	FG_OA_RELEASED = 7,	 /* `key` was handed over */
 };
 
 struct fg_owner_act {
 	enum fg_owner_act_type type;
-	struct fg_table_op *op; /* TABLE; owned by the receiver */
+	struct fg_table_op *op; /* TABLE; the callback takes ownership */
 	uint64_t key;
 	uint64_t owner;
 	uint64_t fence;
@@ -78,72 +83,83 @@
 typedef void (*fg_owner_emit)(void *arg, struct fg_owner_act *act);
 
 struct fg_owner_conf {
-	uint64_t self;
-	uint32_t scan_ms;  /* between reads of all owner rows; longer when there
-			    * are many, see FG_OWNER_SCAN_BYTES_PER_S */
-	uint32_t retry_ms; /* after a conflict or an unreachable platform */
+	uint64_t self;	   /* id of this instance */
+	uint32_t scan_ms;  /* interval of scans of all owner rows; longer when
+			    * there are many, see FG_OWNER_SCAN_BYTES_PER_S */
+	uint32_t retry_ms; /* pause after a failed table operation */
 };
 
-/* Bound on what reading the owner rows costs one instance. */
+/* Bounds the cost of scans: the average rate at which one instance reads owner
+ * rows. */
 #define FG_OWNER_SCAN_BYTES_PER_S 2000
 
-/* A key that nobody claims is claimed by others than its candidate after this
- * long; each waits up to as long again at random. */
+/* Instances other than the candidate claim an unclaimed key after this time
+ * plus a random time of up to the same length. */
 #define FG_OWNER_FALLBACK_MS 10000
 
 struct fg_owner;
 
-/* Borrows the membership, which must outlive it. */
+/* Borrows the membership, which must outlive the object. Free the object with
+ * fg_owner_free(), which accepts NULL. */
 struct fg_owner *fg_owner_new(const struct fg_owner_conf *conf,
 			      const struct fg_member *member, uint64_t seed);
 void fg_owner_free(struct fg_owner *o);
 
-/* Adds or updates a key that wants an owner; `leaving` keys are kept by their
- * owner and claimed by nobody. */
+/* Adds or updates a key that needs an owner. A `leaving` key keeps its owner,
+ * but no instance claims it. The strings are interned. */
 void fg_owner_set_key(struct fg_owner *o, uint64_t key, const char *region,
 		      const char *dc, bool leaving);
 
-/* Forgets a key that is gone for good; deletes its row if it is ours. The id
- * must not come back, since its fencing numbers would start again. */
+/* Removes a key for good and deletes its row if this instance owns it. The id
+ * must not be used again, because its fencing numbers would start over. */
 void fg_owner_remove_key(struct fg_owner *o, fg_ms now, uint64_t key,
 			 fg_owner_emit emit, void *arg);
 
-/* Call at least each 100 ms, and after membership changed. */
+/* Scans, claims and writes what is due. Call it at least every 100 ms, and
+ * after the membership changed. */
 void fg_owner_tick(struct fg_owner *o, fg_ms now, fg_owner_emit emit,
 		   void *arg);
+
+/* Applies the result of a TABLE action. Returns false if the operation is not
+ * one of this module. */
 bool fg_owner_on_table(struct fg_owner *o, fg_ms now,
 		       const struct fg_table_result *res, fg_owner_emit emit,
 		       void *arg);
 
-/* An OWNED message or a NOT_OWNER reply: a hint, taken if its fence is
- * higher than the one known. */
+/* Applies the owner and fence named by an OWNED message or a NOT_OWNER reply.
+ * They are a hint: accepted only if the fence is higher than the known one, and
+ * checked against the row before a claim. */
 void fg_owner_on_hint(struct fg_owner *o, fg_ms now, uint64_t key,
 		      uint64_t owner, uint64_t fence, fg_owner_emit emit,
 		      void *arg);
 
-/* Writes an intent to the row of a key that is ours; ends in INTENT_OK or
- * INTENT_FAILED with its id. Writes due within a tick share one transaction. */
+/* Writes an intent to the row of an owned key and emits INTENT_OK or
+ * INTENT_FAILED with the intent's id. Writes due in the same tick share one
+ * transaction. */
 void fg_owner_store_intent(struct fg_owner *o, fg_ms now, uint64_t key,
 			   const struct fg_intent *intent, fg_owner_emit emit,
 			   void *arg);
 
-/* Removes an intent; done lazily with the next write. */
+/* Removes a stored intent; the row changes with its next write. */
 void fg_owner_remove_intent(struct fg_owner *o, uint64_t key,
 			    uint64_t intent_id);
 
-/* Hands over everything that is ours: rows get owner 0, fences stay. Nothing
- * is claimed from then on. Each key ends in RELEASED or LOST. */
+/* Hands over all owned keys: their rows get owner 0 and keep their fence. This
+ * instance claims no keys from then on. RELEASED or LOST is emitted for each
+ * key. */
 void fg_owner_release_all(struct fg_owner *o, fg_ms now, fg_owner_emit emit,
 			  void *arg);
 
-/* State of a key; *owner and *fence when not NULL. FG_OWN_FREE if unknown. */
+/* Returns the state of a key, FG_OWN_FREE if the key is unknown. Sets *owner
+ * and *fence (0 if unknown) unless they are NULL. */
 enum fg_own_state fg_owner_get_state(const struct fg_owner *o, uint64_t key,
 				     uint64_t *owner, uint64_t *fence);
 
-/* True while we own the key and the standing allows acting on it. */
+/* True while this instance owns the key and its standing allows acting on it.
+ */
 bool fg_owner_may_act(const struct fg_owner *o, uint64_t key, fg_ms now);
 
-/* Calls fn for each key that is ours. */
+/* Calls fn for each owned key (FG_OWN_MINE). */
 void fg_owner_for_each_owned(const struct fg_owner *o,
 			     void (*fn)(void *arg, uint64_t key,
 					uint64_t fence),
--- a/lib/owner/fg_owner_claim.c
+++ b/lib/owner/fg_owner_claim.c
@@ -1,43 +1,42 @@
 /*
- * Claiming keys. Claims that are due together share transactions; after a
- * conflict, which undoes the whole transaction, its keys are claimed one by
- * one.
+ * Claims of keys. Claims that are due together share a transaction. A conflict
+ * undoes the whole transaction; its keys are then claimed one by one.
  */
 #include <string.h>
 
 #include "owner/fg_owner_internal.h"
 
-#define PASS_MS 1000 /* between looks for keys to claim */
-#define CLAIMS_MAX 8 /* transactions under way */
+#define CLAIM_PASS_MS 1000     /* interval of passes over all keys */
+#define CLAIMS_IN_FLIGHT_MAX 8 /* transactions */
 
-/* ---- What to claim ---- */
+/* ---- Choice of keys to claim ---- */
 
-static bool may_be_claimed(const struct fg_owner *o, const struct fg_own_key *k)
+static bool can_be_claimed(const struct fg_owner *o, const struct fg_own_key *k)
 {
-	if (k->leaving || k->busy || k->read_due ||
+	if (k->leaving || k->op_in_flight || k->read_due ||
 	    strcmp(k->region, fg_member_region(o->member)) != 0)
 		return false;
 	if (k->state == FG_OWN_FREE)
 		return true;
-	/* The row names us although it is not ours: from before we lost our
-	 * lease, or a claim that took effect late. */
+	/* The row may name this instance although the key is not owned: it
+	 * dates from before the lease was lost, or a claim took effect late. */
 	if (k->state == FG_OWN_OTHER)
 		return k->owner == o->conf.self ||
-		       fg_member_gone(o->member, k->owner, k->learnt_at);
+		       fg_member_gone(o->member, k->owner, k->known_since);
 	return false;
 }
 
-static bool is_our_turn(struct fg_owner *o, fg_ms now, struct fg_own_key *k)
+static bool is_claim_due(struct fg_owner *o, fg_ms now, struct fg_own_key *k)
 {
-	if (k->free_since == 0) {
+	if (k->claimable_since == 0) {
 		fg_ms extra_ms =
 			(fg_ms)fg_rand_below(&o->rand, FG_OWNER_FALLBACK_MS);
 
-		k->free_since = now + extra_ms;
+		k->claimable_since = now + extra_ms;
 	}
 	if (k->owner == o->conf.self)
 		return true;
-	if (now >= k->free_since + FG_OWNER_FALLBACK_MS)
+	if (now >= k->claimable_since + FG_OWNER_FALLBACK_MS)
 		return true;
 	return fg_member_candidate(o->member, k->key, k->region, k->dc) ==
 	       o->conf.self;
@@ -47,52 +46,54 @@
 
 struct batch {
 	struct fg_table_op *op; /* NULL when empty */
-	struct fg_oop oop;
+	struct fg_owner_inflight inflight;
 };
 
-static void batch_send(struct fg_owner *o, fg_ms now, struct batch *b)
+static void send_batch(struct fg_owner *o, fg_ms now, struct batch *b)
 {
 	if (b->op == NULL)
 		return;
-	o->claims_busy++;
-	fg_owner_submit(o, now, b->op, &b->oop);
+	o->claims_in_flight++;
+	fg_owner_submit_op(o, now, b->op, &b->inflight);
 	b->op = NULL;
-	b->oop.n = 0;
+	b->inflight.n = 0;
 }
 
-static void batch_add(struct fg_owner *o, struct batch *b, struct fg_own_key *k)
+static void add_to_batch(struct fg_owner *o, struct batch *b,
+			 struct fg_own_key *k)
 {
 	if (b->op == NULL)
-		b->op = fg_owner_op(o, FG_OP_TXN, NULL);
+		b->op = fg_owner_new_op(o, FG_OP_TXN, NULL);
 	k->state = FG_OWN_CLAIMING;
-	k->epoch = fg_member_epoch(o->member);
+	k->claim_epoch = fg_member_epoch(o->member);
 	k->claim_fence = k->fence + 1;
-	fg_owner_add_write(b->op, &b->oop, k, o->conf.self, k->claim_fence);
+	fg_owner_add_write(b->op, &b->inflight, k, o->conf.self,
+			   k->claim_fence);
 }
 
-/* Claims k, or reads it first when only a hint told of it. */
-static void claim(struct fg_owner *o, fg_ms now, struct batch *b,
-		  struct fg_own_key *k)
+/* Claims k, or reads its row first if its owner is known from a hint only. */
+static void claim_key(struct fg_owner *o, fg_ms now, struct batch *b,
+		      struct fg_own_key *k)
 {
-	struct batch one = { .oop.kind = FG_OOP_CLAIM };
+	struct batch one = { .inflight.kind = FG_OWNER_OP_CLAIM };
 
-	if (k->hinted) {
+	if (k->from_hint) {
 		k->read_due = true;
 		o->work_due = true;
-	} else if (k->alone) {
-		k->alone = false;
-		batch_add(o, &one, k);
-		batch_send(o, now, &one);
+	} else if (k->write_alone) {
+		k->write_alone = false;
+		add_to_batch(o, &one, k);
+		send_batch(o, now, &one);
 	} else {
-		batch_add(o, b, k);
-		if (b->oop.n == FG_TXN_MAX)
-			batch_send(o, now, b);
+		add_to_batch(o, b, k);
+		if (b->inflight.n == FG_TXN_MAX)
+			send_batch(o, now, b);
 	}
 }
 
-static void pass(struct fg_owner *o, fg_ms now)
+static void run_claim_pass(struct fg_owner *o, fg_ms now)
 {
-	struct batch b = { .oop.kind = FG_OOP_CLAIM };
+	struct batch b = { .inflight.kind = FG_OWNER_OP_CLAIM };
 	GHashTableIter it;
 	void *value;
 
@@ -100,83 +101,85 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct fg_own_key *k = value;
 
-		if (!may_be_claimed(o, k)) {
-			k->free_since = 0;
+		if (!can_be_claimed(o, k)) {
+			k->claimable_since = 0;
 			continue;
 		}
-		if (now < k->retry_at || !is_our_turn(o, now, k))
+		if (now < k->retry_at || !is_claim_due(o, now, k))
 			continue;
-		if (o->claims_busy >= CLAIMS_MAX) {
+		if (o->claims_in_flight >= CLAIMS_IN_FLIGHT_MAX) {
 			o->pass_at = now;
 			break;
 		}
-		claim(o, now, &b, k);
+		claim_key(o, now, &b, k);
 	}
-	batch_send(o, now, &b);
+	send_batch(o, now, &b);
 }
 
 void fg_owner_claim_tick(struct fg_owner *o, fg_ms now)
 {
 	uint64_t generation = fg_member_generation(o->member);
 
-	if (o->releasing || !o->scanned ||
+	if (o->releasing || !o->scan_done ||
 	    (now < o->pass_at && generation == o->generation))
 		return;
 	if (fg_member_standing(o->member, now) != FG_STANDING_CONFIRMED)
 		return;
-	o->pass_at = now + PASS_MS;
+	o->pass_at = now + CLAIM_PASS_MS;
 	o->generation = generation;
-	pass(o, now);
+	run_claim_pass(o, now);
 }
 
 /* ---- Results ---- */
 
-/* A result that comes after our lease was lost, or while we may not act, is
- * too late: another may have taken the key since. It is claimed anew. */
-static bool claim_counts(const struct fg_owner *o, fg_ms now, uint64_t epoch)
+/* False for a result that arrives after this instance's lease was lost, or
+ * while it may not act: another instance may own the key by now, so the key
+ * must be claimed again. */
+static bool is_claim_valid(const struct fg_owner *o, fg_ms now, uint64_t epoch)
 {
 	return epoch == fg_member_epoch(o->member) &&
 	       fg_may_act(fg_member_standing(o->member, now));
 }
 
-void fg_owner_claim_won(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-			uint64_t row_version, uint64_t epoch)
+void fg_owner_apply_claim(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
+			  uint64_t row_version, uint64_t epoch)
 {
-	uint64_t before = k->owner;
+	uint64_t prev_owner = k->owner;
 
 	k->row_version = row_version;
-	k->learnt_at = now;
+	k->known_since = now;
 	k->owner = o->conf.self;
 	k->fence = k->claim_fence;
-	k->free_since = 0;
-	k->hinted = false;
-	if (!claim_counts(o, now, epoch)) {
+	k->claimable_since = 0;
+	k->from_hint = false;
+	if (!is_claim_valid(o, now, epoch)) {
 		k->state = FG_OWN_OTHER;
 		return;
 	}
 	k->state = o->releasing ? FG_OWN_RELEASING : FG_OWN_MINE;
-	k->epoch = epoch;
+	k->claim_epoch = epoch;
 	o->work_due = true;
 	if (row_version == 0)
-		k->read_due = true; /* to learn the version */
+		k->read_due = true; /* the row version is unknown */
 	if (k->state == FG_OWN_MINE)
 		fg_owner_emit_act(o, FG_OA_GAINED, k);
-	if (before != k->owner)
+	if (prev_owner != k->owner)
 		fg_owner_emit_act(o, FG_OA_CHANGED, k);
 }
 
-/* The claim had no effect. */
-static void claim_undone(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-			 fg_ms pause_ms)
+/* The claim had no effect; it is retried after pause_ms. */
+static void undo_claim(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
+		       fg_ms pause_ms)
 {
 	k->state = k->owner == 0 ? FG_OWN_FREE : FG_OWN_OTHER;
 	k->retry_at = now + pause_ms;
 	o->pass_at = now;
 }
 
-static void claim_key_result(struct fg_owner *o, fg_ms now,
-			     struct fg_own_key *k, const struct fg_oop *oop,
-			     size_t i, const struct fg_table_result *res)
+static void apply_claim_result(struct fg_owner *o, fg_ms now,
+			       struct fg_own_key *k,
+			       const struct fg_owner_inflight *inflight,
+			       size_t i, const struct fg_table_result *res)
 {
 	uint64_t version = 0;
 
@@ -184,12 +187,12 @@
 	case FG_PF_OK:
 		if (i < res->n_rows)
 			version = res->rows[i].row_version;
-		fg_owner_claim_won(o, now, k, version, oop->epoch);
+		fg_owner_apply_claim(o, now, k, version, inflight->epoch);
 		break;
 	case FG_PF_CONFLICT:
 		k->state = k->owner == 0 ? FG_OWN_FREE : FG_OWN_OTHER;
-		k->alone = oop->n > 1;
-		fg_owner_in_the_way(o, now, k, res);
+		k->write_alone = inflight->n > 1;
+		fg_owner_apply_conflict(o, now, k, res);
 		o->pass_at = now;
 		break;
 	case FG_PF_LOST:
@@ -199,26 +202,26 @@
 		break;
 	case FG_PF_ABSENT:
 	case FG_PF_DOWN:
-		claim_undone(o, now, k, (fg_ms)o->conf.retry_ms);
+		undo_claim(o, now, k, (fg_ms)o->conf.retry_ms);
 		break;
 	}
 }
 
-void fg_owner_claim_result(struct fg_owner *o, fg_ms now,
-			   const struct fg_oop *oop,
-			   const struct fg_table_result *res)
+void fg_owner_on_claim_result(struct fg_owner *o, fg_ms now,
+			      const struct fg_owner_inflight *inflight,
+			      const struct fg_table_result *res)
 {
-	g_assert(o->claims_busy > 0);
-	o->claims_busy--;
-	for (size_t i = 0; i < oop->n; i++) {
-		struct fg_own_key *k = fg_owner_key(o, oop->keys[i]);
+	g_assert(o->claims_in_flight > 0);
+	o->claims_in_flight--;
+	for (size_t i = 0; i < inflight->n; i++) {
+		struct fg_own_key *k = fg_owner_find_key(o, inflight->keys[i]);
 
 		if (k == NULL)
 			continue;
-		k->busy = false;
+		k->op_in_flight = false;
 		if (k->state == FG_OWN_CLAIMING)
-			claim_key_result(o, now, k, oop, i, res);
+			apply_claim_result(o, now, k, inflight, i, res);
 		else
-			k->read_due = true; /* dropped and wanted again */
+			k->read_due = true; /* removed and added again */
 	}
 }
--- a/lib/owner/fg_owner_internal.h
+++ b/lib/owner/fg_owner_internal.h
@@ -1,11 +1,13 @@
 /*
- * fg_owner_internal - state shared by the parts of fg_owner.
+ * fg_owner_internal - internals shared by the parts of fg_owner.
  *
  *   fg_owner.c         keys, tick, public functions
  *   fg_owner_claim.c   which keys to claim, and claiming them
- *   fg_owner_write.c   intents and releases: writes to rows that are ours
- *   fg_owner_table.c   operations on the table, scans, rows as they are read
- *   fg_owner_row.c     the codec of the owner row
+ *   fg_owner_write.c   writes to owned rows: intents and releases
+ *   fg_owner_table.c   table operations, scans, applying rows that were read
+ *   fg_owner_row.c     codec of the owner row
+ *
+ * "This instance" is the one that runs the module (fg_owner_conf.self).
  */
 #ifndef FG_OWNER_INTERNAL_H
 #define FG_OWNER_INTERNAL_H
@@ -16,10 +18,11 @@
 #include "base/fg_rand.h"
 #include "owner/fg_owner.h"
 
-#define FG_OWNER_OP_TAG (UINT64_C(0x4f) << 56)
+/* Top byte of the ids of this module's table operations. */
+#define FG_OWNER_OP_ID_TAG (UINT64_C(0x4f) << 56)
 #define FG_OWNER_PREFIX "owner/"
 
-/* The value of an owner row. */
+/* Decoded value of an owner row. */
 struct fg_owner_row {
 	uint64_t owner;
 	uint64_t fence;
@@ -27,16 +30,16 @@
 	size_t n_intents;
 };
 
-enum fg_intent_step {
+enum fg_intent_state {
 	FG_INTENT_NEW = 1,     /* to be written */
-	FG_INTENT_WRITING = 2, /* in a write under way, or without answer */
+	FG_INTENT_WRITING = 2, /* write in flight, or its outcome unknown */
 	FG_INTENT_STORED = 3,
 };
 
 struct fg_own_intent {
-	struct fg_intent in;
-	enum fg_intent_step step;
-	uint32_t tries;
+	struct fg_intent intent;
+	enum fg_intent_state state;
+	uint32_t attempts; /* failed writes */
 };
 
 struct fg_own_key {
@@ -46,119 +49,151 @@
 	bool leaving;
 
 	enum fg_own_state state;
-	uint64_t owner; /* as the row says, 0 nobody */
+	uint64_t owner; /* according to the row; 0: none */
 	uint64_t fence;
-	uint64_t row_version; /* 0 absent or never read */
-	fg_ms learnt_at;      /* when this version was first known */
-	uint64_t epoch;	      /* MINE: our lease's epoch at the claim */
-	uint64_t scan;	      /* number of the last scan that showed the row */
-	bool hinted;	      /* known by a hint alone; read before a claim */
-
-	bool busy;	      /* in an operation under way */
-	bool alone;	      /* its next write shares no transaction */
-	bool read_due;	      /* read the row back before anything else */
-	fg_ms retry_at;	      /* no claim or release before */
-	fg_ms free_since;     /* may be claimed since then; 0 may not */
-	uint64_t claim_fence; /* CLAIMING: written by our claim */
-
-	/* Ours: what the row shall hold. Others': what it holds. */
-	struct fg_own_intent *intents; /* NULL when there are none */
+	uint64_t row_version; /* 0: absent or never read */
+	fg_ms known_since;    /* when this row version was first known */
+	uint64_t claim_epoch; /* epoch of this instance's lease at the claim */
+	uint64_t last_scan;   /* number of the last scan that listed the row */
+	bool from_hint;	      /* owner known from a hint only: read the row
+			       * before a claim */
+
+	bool op_in_flight;     /* an operation on the row is in flight */
+	bool write_alone;      /* the next write gets its own transaction */
+	bool read_due;	       /* the row is read before any other operation */
+	fg_ms retry_at;	       /* no claim, release or read before */
+	fg_ms claimable_since; /* with random jitter; 0: not claimable */
+	uint64_t claim_fence;  /* CLAIMING: fence that the claim writes */
+
+	/* Owned keys: intents that the row shall hold. Others: those that it
+	 * holds. NULL when there are none. */
+	struct fg_own_intent *intents;
 	size_t n_intents;
 };
 
-enum fg_oop_kind {
-	FG_OOP_SCAN = 1,
-	FG_OOP_READ = 2,
-	FG_OOP_CLAIM = 3,
-	FG_OOP_RELEASE = 4,
-	FG_OOP_INTENTS = 5,
-	FG_OOP_DROP = 6,
+enum fg_owner_op_kind {
+	FG_OWNER_OP_SCAN = 1,
+	FG_OWNER_OP_READ = 2,
+	FG_OWNER_OP_CLAIM = 3,
+	FG_OWNER_OP_RELEASE = 4,
+	FG_OWNER_OP_INTENTS = 5,
+	FG_OWNER_OP_DROP = 6,
 };
 
-/* An operation under way. */
-struct fg_oop {
-	enum fg_oop_kind kind;
+/* A table operation in flight. */
+struct fg_owner_inflight {
+	enum fg_owner_op_kind kind;
 	fg_ms sent_at;
-	uint64_t epoch;
+	uint64_t epoch; /* of this instance's lease at the submission */
 	size_t n;
-	uint64_t keys[FG_TXN_MAX];
+	uint64_t keys[FG_TXN_MAX]; /* in order of the writes */
 };
 
 struct fg_owner {
 	struct fg_owner_conf conf;
 	const struct fg_member *member;
 	struct fg_rand rand;
-	GHashTable *keys; /* key -> struct fg_own_key */
-	GHashTable *ops;  /* op id -> struct fg_oop */
+	GHashTable *keys; /* key -> struct fg_own_key, owns */
+	GHashTable *ops;  /* op id -> struct fg_owner_inflight, owns */
 	uint64_t next_op;
-	uint64_t epoch; /* of our lease, as last seen */
+	uint64_t epoch; /* of this instance's lease, at the last tick */
 	bool releasing;
 
-	bool scan_busy;
-	bool scanned; /* a scan has come back */
-	uint64_t scan;
-	size_t scan_rows;
-	fg_ms scan_at;
+	bool scan_in_flight;
+	bool scan_done; /* a scan has succeeded */
+	uint64_t scan_number;
+	size_t scan_rows; /* in the last scan */
+	fg_ms next_scan_at;
 
-	bool work_due;	      /* a key needs a write or a read */
-	fg_ms pass_at;	      /* next look for keys to claim */
-	uint64_t generation;  /* of the membership at the last look */
-	uint32_t claims_busy; /* claims under way */
+	bool work_due;	     /* a key needs a write or a read */
+	fg_ms pass_at;	     /* next claim pass over all keys */
+	uint64_t generation; /* of the membership at the last claim pass */
+	uint32_t claims_in_flight; /* transactions */
 
-	fg_owner_emit emit; /* of the call under way */
+	fg_owner_emit emit; /* callback of the current call, with its arg */
 	void *arg;
 };
 
 /* ---- fg_owner.c ---- */
-struct fg_own_key *fg_owner_key(const struct fg_owner *o, uint64_t key);
+
+/* NULL when the key is unknown. */
+struct fg_own_key *fg_owner_find_key(const struct fg_owner *o, uint64_t key);
 void fg_owner_emit_act(struct fg_owner *o, enum fg_owner_act_type type,
 		       const struct fg_own_key *k);
 void fg_owner_emit_intent(struct fg_owner *o, enum fg_owner_act_type type,
 			  const struct fg_own_key *k, uint64_t intent_id);
-/* The key turned out not to be ours any more. */
-void fg_owner_lose(struct fg_owner *o, struct fg_own_key *k);
+
+/* The key is no longer owned: fails the pending intents and emits LOST. */
+void fg_owner_lose_key(struct fg_owner *o, struct fg_own_key *k);
 
 /* ---- fg_owner_claim.c ---- */
+
 void fg_owner_claim_tick(struct fg_owner *o, fg_ms now);
-void fg_owner_claim_result(struct fg_owner *o, fg_ms now,
-			   const struct fg_oop *oop,
-			   const struct fg_table_result *res);
-/* The claim took effect at row_version. */
-void fg_owner_claim_won(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-			uint64_t row_version, uint64_t epoch);
+void fg_owner_on_claim_result(struct fg_owner *o, fg_ms now,
+			      const struct fg_owner_inflight *inflight,
+			      const struct fg_table_result *res);
+
+/* The claim of k took effect with row_version (0: version unknown). `epoch` is
+ * the epoch of this instance's lease at the claim. */
+void fg_owner_apply_claim(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
+			  uint64_t row_version, uint64_t epoch);
 
 /* ---- fg_owner_write.c ---- */
+
 void fg_owner_write_tick(struct fg_owner *o, fg_ms now);
-void fg_owner_write_result(struct fg_owner *o, fg_ms now,
-			   const struct fg_oop *oop,
-			   const struct fg_table_result *res);
-void fg_owner_intents_fail(struct fg_owner *o, struct fg_own_key *k);
-void fg_owner_released(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-		       uint64_t row_version);
-/* The row as read back holds these intents of ours. */
-void fg_owner_intents_found(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-			    const struct fg_owner_row *row);
+void fg_owner_on_write_result(struct fg_owner *o, fg_ms now,
+			      const struct fg_owner_inflight *inflight,
+			      const struct fg_table_result *res);
+
+/* Removes the intents that are not stored and emits INTENT_FAILED for each. */
+void fg_owner_fail_intents(struct fg_owner *o, struct fg_own_key *k);
+
+/* The release of k took effect with row_version (0: version unknown). */
+void fg_owner_apply_release(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
+			    uint64_t row_version);
+
+/* Settles the intents whose write had an unknown outcome: confirms those that
+ * the row read back holds, and retries the others. */
+void fg_owner_resolve_intents(struct fg_owner *o, fg_ms now,
+			      struct fg_own_key *k,
+			      const struct fg_owner_row *row);
 
 /* ---- fg_owner_table.c ---- */
-struct fg_table_op *fg_owner_op(struct fg_owner *o, enum fg_op_kind kind,
-				const char *key);
-void fg_owner_submit(struct fg_owner *o, fg_ms now, struct fg_table_op *op,
-		     const struct fg_oop *oop);
-void fg_owner_key_name(uint64_t key, char *out, size_t len_bytes);
-/* Adds the write of key k to op and oop. */
-void fg_owner_add_write(struct fg_table_op *op, struct fg_oop *oop,
+
+/* Creates a table operation with an id of this module. */
+struct fg_table_op *fg_owner_new_op(struct fg_owner *o, enum fg_op_kind kind,
+				    const char *key);
+
+/* Emits the operation, which the receiver owns, and records it in flight. */
+void fg_owner_submit_op(struct fg_owner *o, fg_ms now, struct fg_table_op *op,
+			const struct fg_owner_inflight *inflight);
+
+/* Writes "owner/" and the key's 16 hex digits to out. */
+void fg_owner_format_row_key(uint64_t key, char *out, size_t len_bytes);
+
+/* Adds a write of k's row with this owner and fence to op and inflight. */
+void fg_owner_add_write(struct fg_table_op *op,
+			struct fg_owner_inflight *inflight,
 			struct fg_own_key *k, uint64_t owner, uint64_t fence);
 void fg_owner_scan_tick(struct fg_owner *o, fg_ms now);
 void fg_owner_read_tick(struct fg_owner *o, fg_ms now);
-/* A row was read; NULL: it is absent. */
-void fg_owner_row_read(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-		       const struct fg_row *row);
-/* A write conflicted: takes in the row in the way; true when it is k's. */
-bool fg_owner_in_the_way(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-			 const struct fg_table_result *res);
+
+/* Applies a row that was read; NULL: the row is absent. */
+void fg_owner_apply_row(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
+			const struct fg_row *row);
+
+/* A write conflicted: applies the conflicting row, or has it read if the result
+ * does not contain it. Returns false if the row belongs to another key. */
+bool fg_owner_apply_conflict(struct fg_owner *o, fg_ms now,
+			     struct fg_own_key *k,
+			     const struct fg_table_result *res);
 
 /* ---- fg_owner_row.c ---- */
-char *fg_owner_row_encode(const struct fg_owner_row *row); /* g_free() */
+
+/* Returns the JSON value of the row; free it with g_free(). */
+char *fg_owner_row_encode(const struct fg_owner_row *row);
+
+/* Returns false if value is NULL or no valid owner row. */
 bool fg_owner_row_decode(const char *value, struct fg_owner_row *row);
 
 #endif
--- a/lib/owner/fg_owner_row.c
+++ b/lib/owner/fg_owner_row.c
@@ -76,7 +76,7 @@
 	return decode_av(victim, &in->victim) && decode_av(av, &in->av);
 }
 
-static bool decode(json_t *obj, struct fg_owner_row *row)
+static bool decode_row(json_t *obj, struct fg_owner_row *row)
 {
 	json_int_t fence;
 	json_t *intents;
@@ -108,7 +108,7 @@
 	memset(row, 0, sizeof(*row));
 	if (obj == NULL)
 		return false;
-	ok = decode(obj, row);
+	ok = decode_row(obj, row);
 	json_decref(obj);
 	return ok;
 }
--- a/lib/owner/fg_owner_table.c
+++ b/lib/owner/fg_owner_table.c
@@ -1,24 +1,24 @@
-/* Operations on the table, scans, and rows as they are read. */
+/* Table operations, scans, and applying rows that were read. */
 #include <string.h>
 
 #include "owner/fg_owner_internal.h"
 
-#define ROW_BYTES 150 /* of one owner row in an answer, about */
+#define ROW_BYTES 150 /* approximate size of an owner row in a scan */
 #define SCAN_RETRY_MS 1000
 #define READS_MAX 8 /* single reads sent in one tick */
-#define KEY_BYTES (sizeof(FG_OWNER_PREFIX) + 16)
+#define ROW_KEY_BYTES (sizeof(FG_OWNER_PREFIX) + 16)
 
-struct fg_table_op *fg_owner_op(struct fg_owner *o, enum fg_op_kind kind,
-				const char *key)
+struct fg_table_op *fg_owner_new_op(struct fg_owner *o, enum fg_op_kind kind,
+				    const char *key)
 {
 	o->next_op++;
-	return fg_table_op_new(FG_OWNER_OP_TAG | o->next_op, kind, key);
+	return fg_table_op_new(FG_OWNER_OP_ID_TAG | o->next_op, kind, key);
 }
 
-void fg_owner_submit(struct fg_owner *o, fg_ms now, struct fg_table_op *op,
-		     const struct fg_oop *oop)
+void fg_owner_submit_op(struct fg_owner *o, fg_ms now, struct fg_table_op *op,
+			const struct fg_owner_inflight *inflight)
 {
-	struct fg_oop *copy = g_memdup2(oop, sizeof(*oop));
+	struct fg_owner_inflight *copy = g_memdup2(inflight, sizeof(*inflight));
 	struct fg_owner_act act = { .type = FG_OA_TABLE, .op = op };
 
 	copy->sent_at = now;
@@ -27,29 +27,30 @@
 	o->emit(o->arg, &act);
 }
 
-void fg_owner_key_name(uint64_t key, char *out, size_t len_bytes)
+void fg_owner_format_row_key(uint64_t key, char *out, size_t len_bytes)
 {
 	g_snprintf(out, (gulong)len_bytes, FG_OWNER_PREFIX "%016" PRIx64, key);
 }
 
-void fg_owner_add_write(struct fg_table_op *op, struct fg_oop *oop,
+void fg_owner_add_write(struct fg_table_op *op,
+			struct fg_owner_inflight *inflight,
 			struct fg_own_key *k, uint64_t owner, uint64_t fence)
 {
 	struct fg_owner_row row = { .owner = owner,
 				    .fence = fence,
 				    .n_intents = k->n_intents };
-	char name[KEY_BYTES];
+	char name[ROW_KEY_BYTES];
 	char *value;
 
-	g_assert(oop->n < FG_TXN_MAX && !k->busy);
+	g_assert(inflight->n < FG_TXN_MAX && !k->op_in_flight);
 	for (size_t i = 0; i < k->n_intents; i++)
-		row.intents[i] = k->intents[i].in;
-	fg_owner_key_name(k->key, name, sizeof(name));
+		row.intents[i] = k->intents[i].intent;
+	fg_owner_format_row_key(k->key, name, sizeof(name));
 	value = fg_owner_row_encode(&row);
 	fg_table_op_write(op, name, k->row_version, value);
 	g_free(value);
-	oop->keys[oop->n++] = k->key;
-	k->busy = true;
+	inflight->keys[inflight->n++] = k->key;
+	k->op_in_flight = true;
 }
 
 /* ---- Rows ---- */
@@ -62,67 +63,69 @@
 	if (row->n_intents > 0)
 		k->intents = g_new0(struct fg_own_intent, row->n_intents);
 	for (size_t i = 0; i < row->n_intents; i++) {
-		k->intents[i].in = row->intents[i];
-		k->intents[i].step = FG_INTENT_STORED;
+		k->intents[i].intent = row->intents[i];
+		k->intents[i].state = FG_INTENT_STORED;
 	}
 }
 
-/* Takes in a row that is not ours. */
-static void set_foreign(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-			uint64_t version, const struct fg_owner_row *row)
+/* Applies a row that this instance does not own. */
+static void apply_foreign_row(struct fg_owner *o, fg_ms now,
+			      struct fg_own_key *k, uint64_t version,
+			      const struct fg_owner_row *row)
 {
-	uint64_t before = k->owner;
+	uint64_t prev_owner = k->owner;
 
-	if (version != k->row_version || k->learnt_at == 0)
-		k->learnt_at = now;
+	if (version != k->row_version || k->known_since == 0)
+		k->known_since = now;
 	k->row_version = version;
 	k->owner = row->owner;
 	if (row->fence > k->fence)
 		k->fence = row->fence;
-	k->hinted = false;
+	k->from_hint = false;
 	k->state = row->owner == 0 ? FG_OWN_FREE : FG_OWN_OTHER;
 	set_intents(k, row);
-	if (before != k->owner)
+	if (prev_owner != k->owner)
 		fg_owner_emit_act(o, FG_OA_CHANGED, k);
 }
 
-/* Our row: `row` says that it still is. */
-static void confirm_own(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-			uint64_t version, const struct fg_owner_row *row)
+/* Applies a row that shows that this instance still owns k. */
+static void confirm_own_row(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
+			    uint64_t version, const struct fg_owner_row *row)
 {
 	k->row_version = version;
-	k->learnt_at = now;
-	fg_owner_intents_found(o, now, k, row);
+	k->known_since = now;
+	fg_owner_resolve_intents(o, now, k, row);
 }
 
-static void row_known(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-		      uint64_t version, const struct fg_owner_row *row)
+static void apply_parsed_row(struct fg_owner *o, fg_ms now,
+			     struct fg_own_key *k, uint64_t version,
+			     const struct fg_owner_row *row)
 {
 	bool self = row->owner == o->conf.self;
 
 	if (k->state == FG_OWN_CLAIMING && self &&
 	    row->fence == k->claim_fence) {
 		set_intents(k, row);
-		fg_owner_claim_won(o, now, k, version, k->epoch);
+		fg_owner_apply_claim(o, now, k, version, k->claim_epoch);
 		return;
 	}
 	if (k->state == FG_OWN_RELEASING && row->owner == 0 &&
 	    row->fence == k->fence) {
-		fg_owner_released(o, now, k, version);
+		fg_owner_apply_release(o, now, k, version);
 		return;
 	}
 	if ((k->state == FG_OWN_MINE || k->state == FG_OWN_RELEASING) && self &&
 	    row->fence == k->fence) {
-		confirm_own(o, now, k, version, row);
+		confirm_own_row(o, now, k, version, row);
 		return;
 	}
 	if (k->state == FG_OWN_MINE || k->state == FG_OWN_RELEASING)
-		fg_owner_lose(o, k);
-	set_foreign(o, now, k, version, row);
+		fg_owner_lose_key(o, k);
+	apply_foreign_row(o, now, k, version, row);
 }
 
-void fg_owner_row_read(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-		       const struct fg_row *row)
+void fg_owner_apply_row(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
+			const struct fg_row *row)
 {
 	struct fg_owner_row parsed = { 0 };
 	uint64_t version = 0;
@@ -130,22 +133,23 @@
 	if (row != NULL && row->value != NULL) {
 		if (row->row_version < k->row_version ||
 		    !fg_owner_row_decode(row->value, &parsed)) {
-			/* An older read, or nothing that we understand. */
+			/* The read is outdated, or the row is not valid. */
 			if (k->state == FG_OWN_CLAIMING)
 				k->state = FG_OWN_OTHER;
 			return;
 		}
 		version = row->row_version;
 	}
-	row_known(o, now, k, version, &parsed);
+	apply_parsed_row(o, now, k, version, &parsed);
 }
 
-bool fg_owner_in_the_way(struct fg_owner *o, fg_ms now, struct fg_own_key *k,
-			 const struct fg_table_result *res)
+bool fg_owner_apply_conflict(struct fg_owner *o, fg_ms now,
+			     struct fg_own_key *k,
+			     const struct fg_table_result *res)
 {
-	char name[KEY_BYTES];
+	char name[ROW_KEY_BYTES];
 
-	fg_owner_key_name(k->key, name, sizeof(name));
+	fg_owner_format_row_key(k->key, name, sizeof(name));
 	if (res->n_rows == 0) {
 		k->read_due = true;
 		o->work_due = true;
@@ -153,7 +157,7 @@
 	}
 	if (strcmp(res->rows[0].key, name) != 0)
 		return false;
-	fg_owner_row_read(o, now, k, &res->rows[0]);
+	fg_owner_apply_row(o, now, k, &res->rows[0]);
 	return true;
 }
 
@@ -169,18 +173,20 @@
 
 void fg_owner_scan_tick(struct fg_owner *o, fg_ms now)
 {
-	struct fg_oop oop = { .kind = FG_OOP_SCAN };
+	struct fg_owner_inflight inflight = { .kind = FG_OWNER_OP_SCAN };
 
-	if (o->scan_busy || now < o->scan_at)
+	if (o->scan_in_flight || now < o->next_scan_at)
 		return;
-	o->scan_busy = true;
-	o->scan++;
-	o->scan_at = now + scan_interval_ms(o);
-	fg_owner_submit(o, now, fg_owner_op(o, FG_OP_SCAN, FG_OWNER_PREFIX),
-			&oop);
+	o->scan_in_flight = true;
+	o->scan_number++;
+	o->next_scan_at = now + scan_interval_ms(o);
+	fg_owner_submit_op(o, now,
+			   fg_owner_new_op(o, FG_OP_SCAN, FG_OWNER_PREFIX),
+			   &inflight);
 }
 
-static void scanned_row(struct fg_owner *o, fg_ms now, const struct fg_row *row)
+static void apply_scanned_row(struct fg_owner *o, fg_ms now,
+			      const struct fg_row *row)
 {
 	struct fg_own_key *k;
 	guint64 key;
@@ -189,16 +195,16 @@
 	    !g_ascii_string_to_unsigned(row->key + strlen(FG_OWNER_PREFIX), 16,
 					0, UINT64_MAX, &key, NULL))
 		return;
-	k = fg_owner_key(o, key);
+	k = fg_owner_find_key(o, key);
 	if (k == NULL)
 		return;
-	k->scan = o->scan;
-	/* The operation under way will tell. */
-	if (!k->busy && row->row_version > k->row_version)
-		fg_owner_row_read(o, now, k, row);
+	k->last_scan = o->scan_number;
+	/* While an operation on the row is in flight, its result decides. */
+	if (!k->op_in_flight && row->row_version > k->row_version)
+		fg_owner_apply_row(o, now, k, row);
 }
 
-static void note_missing(struct fg_owner *o, fg_ms now, fg_ms sent_at)
+static void apply_missing_rows(struct fg_owner *o, fg_ms now, fg_ms sent_at)
 {
 	GHashTableIter it;
 	void *value;
@@ -207,25 +213,26 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct fg_own_key *k = value;
 
-		if (k->scan != o->scan && !k->busy && k->row_version != 0 &&
-		    k->learnt_at < sent_at)
-			fg_owner_row_read(o, now, k, NULL);
+		if (k->last_scan != o->scan_number && !k->op_in_flight &&
+		    k->row_version != 0 && k->known_since < sent_at)
+			fg_owner_apply_row(o, now, k, NULL);
 	}
 }
 
-static void scan_result(struct fg_owner *o, fg_ms now, const struct fg_oop *oop,
-			const struct fg_table_result *res)
+static void on_scan_result(struct fg_owner *o, fg_ms now,
+			   const struct fg_owner_inflight *inflight,
+			   const struct fg_table_result *res)
 {
-	o->scan_busy = false;
+	o->scan_in_flight = false;
 	if (res->result != FG_PF_OK) {
-		o->scan_at = MIN(o->scan_at, now + SCAN_RETRY_MS);
+		o->next_scan_at = MIN(o->next_scan_at, now + SCAN_RETRY_MS);
 		return;
 	}
-	o->scanned = true;
+	o->scan_done = true;
 	o->scan_rows = res->n_rows;
 	for (size_t i = 0; i < res->n_rows; i++)
-		scanned_row(o, now, &res->rows[i]);
-	note_missing(o, now, oop->sent_at);
+		apply_scanned_row(o, now, &res->rows[i]);
+	apply_missing_rows(o, now, inflight->sent_at);
 	o->pass_at = now;
 }
 
@@ -240,38 +247,41 @@
 	g_hash_table_iter_init(&it, o->keys);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct fg_own_key *k = value;
-		struct fg_oop oop = { .kind = FG_OOP_READ, .n = 1 };
-		char name[KEY_BYTES];
+		struct fg_owner_inflight inflight = { .kind = FG_OWNER_OP_READ,
+						      .n = 1 };
+		char name[ROW_KEY_BYTES];
 
-		if (!k->read_due || k->busy)
+		if (!k->read_due || k->op_in_flight)
 			continue;
 		if (now < k->retry_at || sent >= READS_MAX) {
 			o->work_due = true;
 			continue;
 		}
 		sent++;
-		k->busy = true;
-		oop.keys[0] = k->key;
-		fg_owner_key_name(k->key, name, sizeof(name));
-		fg_owner_submit(o, now, fg_owner_op(o, FG_OP_GET, name), &oop);
+		k->op_in_flight = true;
+		inflight.keys[0] = k->key;
+		fg_owner_format_row_key(k->key, name, sizeof(name));
+		fg_owner_submit_op(o, now, fg_owner_new_op(o, FG_OP_GET, name),
+				   &inflight);
 	}
 }
 
-static void read_result(struct fg_owner *o, fg_ms now, const struct fg_oop *oop,
-			const struct fg_table_result *res)
+static void on_read_result(struct fg_owner *o, fg_ms now,
+			   const struct fg_owner_inflight *inflight,
+			   const struct fg_table_result *res)
 {
-	struct fg_own_key *k = fg_owner_key(o, oop->keys[0]);
+	struct fg_own_key *k = fg_owner_find_key(o, inflight->keys[0]);
 
 	if (k == NULL)
 		return;
-	k->busy = false;
+	k->op_in_flight = false;
 	o->work_due = true;
 	if (res->result == FG_PF_OK || res->result == FG_PF_ABSENT) {
 		k->read_due = false;
-		fg_owner_row_read(o, now, k,
-				  res->result == FG_PF_OK && res->n_rows > 0
-					  ? &res->rows[0]
-					  : NULL);
+		fg_owner_apply_row(o, now, k,
+				   res->result == FG_PF_OK && res->n_rows > 0
+					   ? &res->rows[0]
+					   : NULL);
 	} else {
 		k->retry_at = now + (fg_ms)o->conf.retry_ms;
 	}
@@ -283,30 +293,31 @@
 		       const struct fg_table_result *res, fg_owner_emit emit,
 		       void *arg)
 {
-	struct fg_oop *oop = g_hash_table_lookup(o->ops, &res->id);
-	struct fg_oop copy;
+	struct fg_owner_inflight *inflight =
+		g_hash_table_lookup(o->ops, &res->id);
+	struct fg_owner_inflight copy;
 
-	if (oop == NULL)
+	if (inflight == NULL)
 		return false;
-	copy = *oop;
+	copy = *inflight;
 	g_hash_table_remove(o->ops, &res->id);
 	o->emit = emit;
 	o->arg = arg;
 	switch (copy.kind) {
-	case FG_OOP_SCAN:
-		scan_result(o, now, &copy, res);
+	case FG_OWNER_OP_SCAN:
+		on_scan_result(o, now, &copy, res);
 		break;
-	case FG_OOP_READ:
-		read_result(o, now, &copy, res);
+	case FG_OWNER_OP_READ:
+		on_read_result(o, now, &copy, res);
 		break;
-	case FG_OOP_CLAIM:
-		fg_owner_claim_result(o, now, &copy, res);
+	case FG_OWNER_OP_CLAIM:
+		fg_owner_on_claim_result(o, now, &copy, res);
 		break;
-	case FG_OOP_RELEASE:
-	case FG_OOP_INTENTS:
-		fg_owner_write_result(o, now, &copy, res);
+	case FG_OWNER_OP_RELEASE:
+	case FG_OWNER_OP_INTENTS:
+		fg_owner_on_write_result(o, now, &copy, res);
 		break;
-	case FG_OOP_DROP:
+	case FG_OWNER_OP_DROP:
 		break;
 	}
 	return true;
--- a/tests/unit/test_owner.c
+++ b/tests/unit/test_owner.c
@@ -1,4 +1,5 @@
-/* Unit tests of lib/owner, alone and over seeded runs with faults. */
+/* Unit tests of lib/owner in a simulated cluster: single cases and seeded runs
+ * with faults. */
 #include <signal.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,7 +12,7 @@
 
 static uint64_t current_seed;
 
-static struct cluster *start(uint64_t seed, int n_nodes, int n_keys)
+static struct cluster *start_cluster(uint64_t seed, int n_nodes, int n_keys)
 {
 	struct cluster *c = cluster_new(seed, n_keys, 1);
 
@@ -32,14 +33,14 @@
 	before = c->table_writes;
 	cluster_run(c, 2500);
 	g_assert_true(cluster_all_owned(c));
-	/* One for all keys; the others renew the lease. */
+	/* One write claims all keys; the others renew the lease. */
 	g_assert_cmpuint(c->table_writes - before, <=, 1 + 2000 / 700 + 1);
 	cluster_free(c);
 }
 
 static void test_takeover(void)
 {
-	struct cluster *c = start(2, 5, 6);
+	struct cluster *c = start_cluster(2, 5, 6);
 	struct node *n = cluster_actor(c, 0);
 	uint64_t fence = c->last_fence[0];
 	fg_ms killed = c->now;
@@ -53,7 +54,8 @@
 	cluster_free(c);
 }
 
-/* With the defaults for the aim's size; the time is on docs/CAPACITY.md. */
+/* Takeover time with the default settings and nine instances; docs/CAPACITY.md
+ * states the time. */
 static void test_takeover_defaults(void)
 {
 	struct cluster *c = cluster_new(20, 8, 1);
@@ -81,9 +83,10 @@
 	cluster_free(c);
 }
 
-/* An instance that dies before its second renewal: its row says how many it
- * knows by then, so that those left need not wait for ten leases. */
-static void test_killed_early(void)
+/* An instance dies before its second lease renewal. Its row already states the
+ * number of instances that it knows, so that the others need not wait for ten
+ * leases before they delete the row. */
+static void test_killed_after_join(void)
 {
 	struct cluster *c = cluster_new(22, 4, 1);
 	struct node *n;
@@ -104,8 +107,9 @@
 }
 
 /*
- * Two of four instances end while the last ones have just joined. Those left
- * meet the quorums of both only if each row tells the true size of the region.
+ * Two of four instances are killed just after the last ones have joined. The
+ * two that remain reach the quorum to delete both rows only if each row states
+ * the true size of the region.
  */
 static void test_two_of_four_killed(void)
 {
@@ -146,9 +150,9 @@
 	g_assert_cmpint(worst_ms, <, 4 * lease_ms);
 }
 
-static void test_hand_over(void)
+static void test_handover(void)
 {
-	struct cluster *c = start(3, 4, 6);
+	struct cluster *c = start_cluster(3, 4, 6);
 	struct node *n = cluster_actor(c, 0);
 	fg_ms asked = c->now;
 	uint64_t fence = c->last_fence[0];
@@ -164,15 +168,16 @@
 	cluster_free(c);
 }
 
-/* The new owner is told of its predecessor's open intents, not of others. */
 struct seen {
 	uint64_t ids[FG_INTENTS_MAX];
 	size_t n;
 };
 
-static void test_intents(void)
+/* The row holds the open intents, not those that were removed, and keeps them
+ * for the next owner. */
+static void test_intents_stored(void)
 {
-	struct cluster *c = start(4, 3, 2);
+	struct cluster *c = start_cluster(4, 3, 2);
 	struct node *n = cluster_actor(c, 0);
 	g_autofree char *key = g_strdup_printf("owner/%016" PRIx64, c->keys[0]);
 	struct fg_owner_row row;
@@ -192,7 +197,7 @@
 	g_assert_cmpuint(row.intents[1].id, ==, 13);
 	cluster_kill(c, n);
 	cluster_run(c, c->now + 15000);
-	/* Kept in the row until the new owner says that they are done. */
+	/* Intents stay in the row until the new owner removes them. */
 	stored = g_tree_lookup(c->table, key);
 	g_assert_true(fg_owner_row_decode(stored->value, &row));
 	g_assert_cmpuint(row.n_intents, ==, 2);
@@ -200,10 +205,11 @@
 	cluster_free(c);
 }
 
-/* Stored or not: an intent ends in one answer, whatever the table does. */
+/* Each intent ends in exactly one of INTENT_OK and INTENT_FAILED, also when
+ * results of the table are lost. */
 static void test_intents_with_faults(void)
 {
-	struct cluster *c = start(5, 3, 1);
+	struct cluster *c = start_cluster(5, 3, 1);
 	struct node *n = cluster_actor(c, 0);
 
 	c->lost_share = 0.25;
@@ -218,9 +224,9 @@
 	cluster_free(c);
 }
 
-static void test_intent_refused(void)
+static void test_refused_intents(void)
 {
-	struct cluster *c = start(6, 3, 1);
+	struct cluster *c = start_cluster(6, 3, 1);
 	struct node *n = cluster_actor(c, 0);
 	struct node *other = n == &c->nodes[0] ? &c->nodes[1] : &c->nodes[0];
 
@@ -242,9 +248,9 @@
 }
 
 /* A hint of a higher fence ends ownership; a lower one is ignored. */
-static void test_hint(void)
+static void test_ownership_hint(void)
 {
-	struct cluster *c = start(7, 2, 1);
+	struct cluster *c = start_cluster(7, 2, 1);
 	struct node *n = cluster_actor(c, 0);
 	fg_ms now = node_clock(c, n);
 	uint64_t owner;
@@ -262,13 +268,13 @@
 }
 
 /*
- * The residual case: the order of an owner that is paused between the check
- * and the send can arrive after the next owner has been established. Its
- * fence is lower, so an engine that checks fences refuses it.
+ * An owner paused between the check of its ownership and the send of an order
+ * may send the order after the next owner has taken over. The order's fence is
+ * lower, so that an engine that checks fences refuses it.
  */
 static void test_paused_between_check_and_send(void)
 {
-	struct cluster *c = start(8, 4, 1);
+	struct cluster *c = start_cluster(8, 4, 1);
 	struct node *n = cluster_actor(c, 0);
 	uint64_t order_fence;
 
@@ -289,12 +295,12 @@
 }
 
 /*
- * Nodes 0 to 4 hold on through what looks like an outage; node 5 alone
- * reaches the platform and does not reach 0 and 1. What 2 to 4 pass on must
- * stop those before node 5 deletes their leases. Pings are so rare that only
- * surveys carry the news.
+ * Nodes 0 to 4 lose the platform and keep acting, as in an outage. Node 5
+ * reaches the platform, but not nodes 0 and 1. Nodes 2 to 4 must relay what
+ * they learn from node 5, so that nodes 0 and 1 stop before node 5 deletes
+ * their leases. Pings are so rare that only surveys carry this information.
  */
-static void news_is_passed_on(uint64_t seed)
+static void run_relay_case(uint64_t seed)
 {
 	struct cluster *c = cluster_new(seed, 6, 1);
 
@@ -314,17 +320,17 @@
 	cluster_free(c);
 }
 
-static void test_news_is_passed_on(void)
+static void test_platform_news_relayed(void)
 {
 	for (uint64_t seed = 1; seed <= 30; seed++)
-		news_is_passed_on(seed);
+		run_relay_case(seed);
 }
 
-/* One that alone reaches the platform takes nothing from the many that hold
- * on without it. */
+/* A single node that reaches the platform takes no keys from the majority,
+ * which keeps acting without the platform. */
 static void test_minority_with_platform(void)
 {
-	struct cluster *c = start(12, 6, 6);
+	struct cluster *c = start_cluster(12, 6, 6);
 
 	for (int i = 0; i < 5; i++) {
 		c->nodes[i].platform_cut = true;
@@ -339,11 +345,12 @@
 }
 
 /*
- * x loses its lease while a and c agree on it; then a, cut off from c, has
- * only x to answer it, and does not know that the region has shrunk to a and
- * c, so that c needs nobody else to delete the lease of a.
+ * Node x loses its lease while nodes a and c (`other`) agree on that. Then a is
+ * cut off from c and from the platform, and only x answers a. Node a does not
+ * know that the region has shrunk to a and c, so that c can delete a's lease
+ * without the agreement of any other node.
  */
-static void shrunken_region(uint64_t seed)
+static void run_shrunken_region_case(uint64_t seed)
 {
 	struct cluster *c = cluster_new(seed, 1, 1);
 	struct node *node;
@@ -373,33 +380,34 @@
 static void test_shrunken_region(void)
 {
 	for (uint64_t seed = 1; seed <= 60; seed++)
-		shrunken_region(seed);
+		run_shrunken_region_case(seed);
 }
 
 /*
- * The only instance of its region holds on through an outage, but not when it
- * is cut off alone: one that it never heard of may be taking its place.
+ * The only instance of a region keeps its key through an outage of the
+ * platform, but not when that instance alone is cut off: a new instance that it
+ * does not know may take over the key.
  */
-static void test_lone_instance(void)
+static void test_only_instance_of_region(void)
 {
 	struct cluster *c = cluster_new(11, 2, 2);
-	struct node *lone = cluster_join(c, c->key_region[1]);
+	struct node *single = cluster_join(c, c->key_region[1]);
 
 	c->new_address_share = 1;
 	for (int i = 0; i < 3; i++)
 		cluster_join(c, c->key_region[0]);
 	cluster_run(c, 10000);
-	g_assert_true(cluster_actor(c, 1) == lone);
+	g_assert_true(cluster_actor(c, 1) == single);
 	c->outage_until = c->now + 20000;
 	cluster_run(c, c->now + 15000);
-	g_assert_true(cluster_actor(c, 1) == lone);
+	g_assert_true(cluster_actor(c, 1) == single);
 	cluster_run(c, c->now + 15000);
-	lone->side = 1;
-	lone->platform_cut = true;
+	single->side = 1;
+	single->platform_cut = true;
 	cluster_join(c, c->key_region[1]);
 	cluster_run(c, c->now + 20000);
 	g_assert_nonnull(cluster_actor(c, 1));
-	g_assert_true(cluster_actor(c, 1) != lone);
+	g_assert_true(cluster_actor(c, 1) != single);
 	cluster_free(c);
 }
 
@@ -428,7 +436,7 @@
 
 /* ---- Seeded runs ---- */
 
-static struct node *any_node(struct cluster *c)
+static struct node *pick_live_node(struct cluster *c)
 {
 	struct node *n =
 		&c->nodes[fg_rand_below(&c->rand, (uint64_t)c->n_nodes)];
@@ -449,7 +457,8 @@
 	}
 }
 
-/* Cuts that are not transitive, both ways each; the platform for some. */
+/* Cuts random pairs of nodes, both ways, so that reachability is not
+ * transitive, and some nodes from the platform. */
 static void cut_pairs(struct cluster *c)
 {
 	uint64_t share = 1 + fg_rand_below(&c->rand, 8);
@@ -467,8 +476,8 @@
 	}
 }
 
-/* Replaces an instance by a new one, by a planned stop or by a crash. */
-static void replace(struct cluster *c, struct node *n)
+/* Replaces an instance by a new one, after a planned stop or a crash. */
+static void replace_node(struct cluster *c, struct node *n)
 {
 	const char *region = g_intern_string(n->self.region);
 
@@ -480,9 +489,9 @@
 	cluster_join(c, region);
 }
 
-static void fault(struct cluster *c)
+static void inject_fault(struct cluster *c)
 {
-	struct node *n = any_node(c);
+	struct node *n = pick_live_node(c);
 	fg_ms length_ms = (fg_ms)fg_rand_below(&c->rand, 9000);
 
 	switch (fg_rand_below(&c->rand, 12)) {
@@ -514,7 +523,7 @@
 		break;
 	case 8:
 		if (n != NULL)
-			replace(c, n);
+			replace_node(c, n);
 		break;
 	case 9:
 	case 10:
@@ -526,7 +535,7 @@
 	}
 }
 
-static void order_something(struct cluster *c)
+static void send_random_order(struct cluster *c)
 {
 	int k = (int)fg_rand_below(&c->rand, (uint64_t)c->n_keys);
 	struct node *n = cluster_actor(c, k);
@@ -536,8 +545,9 @@
 			       fg_hash_mix(n->self.id, ++n->next_intent));
 }
 
-/* More than two thirds of a region's rows are dead ones: by design this waits
- * for more instances (docs/design/membership.md). */
+/* When two thirds of a region's rows or more belong to dead instances, the live
+ * ones cannot delete them without new instances, by design
+ * (docs/design/membership.md): adds instances. */
 static void restore_quorum(struct cluster *c)
 {
 	for (int k = 0; k < c->n_keys; k++) {
@@ -565,17 +575,17 @@
 	for (int i = 0; i < 25; i++) {
 		uint64_t gap_ms = fg_rand_below(&rand, 5) == 0 ? 4000 : 500;
 
-		fault(c);
+		inject_fault(c);
 		for (int j = 0; j < 4; j++) {
 			cluster_run(c, c->now + (fg_ms)fg_rand_below(&rand,
 								     gap_ms));
-			order_something(c);
+			send_random_order(c);
 		}
 	}
 	cluster_heal(c);
 	cluster_run(c, c->now + 5000);
 	restore_quorum(c);
-	/* A region that was replaced as a whole waits ten leases. */
+	/* A region whose instances were all replaced waits for ten leases. */
 	for (fg_ms end = c->now + 80000; c->now < end && !cluster_all_owned(c);)
 		cluster_run(c, c->now + 1000);
 	cluster_run(c, c->now + 15000);
@@ -584,18 +594,18 @@
 	cluster_free(c);
 }
 
-static uint64_t number_from(const char *name, uint64_t otherwise)
+static uint64_t env_number(const char *name, uint64_t fallback)
 {
 	const char *text = g_getenv(name);
 
-	return text != NULL ? (uint64_t)atoll(text) : otherwise;
+	return text != NULL ? (uint64_t)atoll(text) : fallback;
 }
 
-/* FG_TEST_FIRST and FG_TEST_SEEDS choose other seeds, for longer runs. */
+/* FG_TEST_FIRST and FG_TEST_SEEDS select other seeds, for longer runs. */
 static void test_seeds(void)
 {
-	uint64_t first = number_from("FG_TEST_FIRST", 1);
-	uint64_t n = number_from("FG_TEST_SEEDS", SEEDS);
+	uint64_t first = env_number("FG_TEST_FIRST", 1);
+	uint64_t n = env_number("FG_TEST_SEEDS", SEEDS);
 
 	for (uint64_t seed = first; seed < first + n; seed++) {
 		current_seed = seed;
@@ -603,8 +613,8 @@
 	}
 }
 
-/* A failed assertion ends the process: names the seed to run alone. */
-static void print_seed(int sig)
+/* SIGABRT handler: prints the seed of a failed assertion for a single rerun. */
+static void print_failed_seed(int sig)
 {
 	char text[64];
 	int n = g_snprintf(text, sizeof(text), "# seed %" PRIu64 "\n",
@@ -617,25 +627,25 @@
 
 int main(int argc, char **argv)
 {
-	signal(SIGABRT, print_seed);
+	signal(SIGABRT, print_failed_seed);
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/owner/claims_are_batched", test_claims_are_batched);
 	g_test_add_func("/owner/takeover", test_takeover);
 	g_test_add_func("/owner/takeover_defaults", test_takeover_defaults);
-	g_test_add_func("/owner/killed_early", test_killed_early);
+	g_test_add_func("/owner/killed_early", test_killed_after_join);
 	g_test_add_func("/owner/two_of_four_killed", test_two_of_four_killed);
-	g_test_add_func("/owner/hand_over", test_hand_over);
-	g_test_add_func("/owner/intents", test_intents);
+	g_test_add_func("/owner/hand_over", test_handover);
+	g_test_add_func("/owner/intents", test_intents_stored);
 	g_test_add_func("/owner/intents_with_faults", test_intents_with_faults);
-	g_test_add_func("/owner/intent_refused", test_intent_refused);
-	g_test_add_func("/owner/hint", test_hint);
+	g_test_add_func("/owner/intent_refused", test_refused_intents);
+	g_test_add_func("/owner/hint", test_ownership_hint);
 	g_test_add_func("/owner/paused_between_check_and_send",
 			test_paused_between_check_and_send);
-	g_test_add_func("/owner/news_is_passed_on", test_news_is_passed_on);
+	g_test_add_func("/owner/news_is_passed_on", test_platform_news_relayed);
 	g_test_add_func("/owner/minority_with_platform",
 			test_minority_with_platform);
 	g_test_add_func("/owner/shrunken_region", test_shrunken_region);
-	g_test_add_func("/owner/lone_instance", test_lone_instance);
+	g_test_add_func("/owner/lone_instance", test_only_instance_of_region);
 	g_test_add_func("/owner/row_codec", test_row_codec);
 	g_test_add_func("/owner/seeds", test_seeds);
 	return g_test_run();
