--- a/lib/gateway/fg_events.c
+++ b/lib/gateway/fg_events.c
@@ -20,8 +20,8 @@
 	g_string_truncate(e->partial, 0);
 }
 
-/* Reads "id: N" at the start of a line. */
-static void read_id(struct fg_events *e, const char *line, size_t len)
+/* Parses a line "id: N"; ignores all other lines. */
+static void parse_id(struct fg_events *e, const char *line, size_t len)
 {
 	char text[24];
 
@@ -38,8 +38,8 @@
 	e->last_id = g_ascii_strtoull(text, NULL, 10);
 }
 
-/* Length of the event at the start of `text`, its empty line included; 0 when
- * it is not whole. */
+/* Length of the event at the start of `text`, including the empty line that
+ * ends it; 0 when the event is incomplete. */
 static size_t event_length(const char *text, size_t len)
 {
 	size_t at = 0;
@@ -58,7 +58,7 @@
 	return 0;
 }
 
-static void read_lines(struct fg_events *e, const char *text, size_t len)
+static void parse_lines(struct fg_events *e, const char *text, size_t len)
 {
 	size_t at = 0;
 
@@ -66,26 +66,26 @@
 		const char *lf = memchr(text + at, '\n', len - at);
 		size_t line = (size_t)(lf - text) - at;
 
-		read_id(e, text + at, line);
+		parse_id(e, text + at, line);
 		at += line + 1;
 	}
 }
 
 gssize fg_events_feed(struct fg_events *e, const char *data, size_t len_bytes)
 {
-	size_t whole = 0;
+	size_t complete_bytes = 0;
 	size_t n;
 
 	g_string_append_len(e->partial, data, (gssize)len_bytes);
-	while ((n = event_length(e->partial->str + whole,
-				 e->partial->len - whole)) > 0) {
-		read_lines(e, e->partial->str + whole, n);
+	while ((n = event_length(e->partial->str + complete_bytes,
+				 e->partial->len - complete_bytes)) > 0) {
+		parse_lines(e, e->partial->str + complete_bytes, n);
 		e->n_complete++;
-		whole += n;
+		complete_bytes += n;
 	}
-	if (e->partial->len - whole > FG_EVENT_MAX_BYTES)
+	if (e->partial->len - complete_bytes > FG_EVENT_MAX_BYTES)
 		return -1;
-	return (gssize)whole;
+	return (gssize)complete_bytes;
 }
 
 void fg_events_consume(struct fg_events *e, size_t len_bytes)
--- a/lib/gateway/fg_events.h
+++ b/lib/gateway/fg_events.h
@@ -1,11 +1,12 @@
 /*
- * fg_events - splits a stream of events (text/event-stream) into whole ones.
+ * fg_events - incremental parser for event streams (text/event-stream).
  *
- * Only whole events are handed on, so that a stream that breaks in the middle
- * of one can go on elsewhere after the last whole event, with none missing and
- * none twice.
+ * The parser finds the boundaries of complete events and the id of the last
+ * one. A gateway that forwards only complete events can continue a stream that
+ * breaks in the middle of an event at another endpoint: after the last
+ * complete event, without losing or repeating one.
  *
- * Pure.
+ * Does no I/O and reads no clock.
  */
 #ifndef FG_EVENTS_H
 #define FG_EVENTS_H
@@ -14,26 +15,30 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* An event larger than this is refused. */
+/* fg_events_feed() refuses an event larger than this. */
 #define FG_EVENT_MAX_BYTES (256 * 1024)
 
 struct fg_events {
-	GString *partial; /* begin of an event that is not whole yet */
+	GString *partial; /* received and not yet consumed */
 	bool has_id;
-	uint64_t last_id;    /* of the last whole event that had one */
-	uint64_t n_complete; /* events handed on */
+	uint64_t last_id;    /* of the last complete event that had one */
+	uint64_t n_complete; /* complete events so far */
 };
 
+/* Initializes a parser; fg_events_clear() frees what it holds. */
 void fg_events_init(struct fg_events *e);
 void fg_events_clear(struct fg_events *e);
 
-/* Forgets a begun event: another endpoint goes on. */
+/* Drops the bytes of an incomplete event. Call this before another endpoint
+ * continues the stream; last_id stays. */
 void fg_events_drop_partial(struct fg_events *e);
 
 /*
- * Takes bytes; returns how many bytes of e->partial, from its start, are whole
- * events (0 when none is). The caller hands them on and then calls
- * fg_events_consume(). Returns -1 when an event is too large.
+ * Appends bytes of the stream to e->partial. Returns how many bytes at the
+ * start of e->partial form complete events (0 when there is none), or -1 when
+ * the incomplete event behind them exceeds FG_EVENT_MAX_BYTES. The caller
+ * forwards the complete events and then passes their size to
+ * fg_events_consume(), which removes them.
  */
 gssize fg_events_feed(struct fg_events *e, const char *data, size_t len_bytes);
 void fg_events_consume(struct fg_events *e, size_t len_bytes);
--- a/lib/gateway/fg_gateway.c
+++ b/lib/gateway/fg_gateway.c
@@ -1,4 +1,4 @@
-/* Start, clock tick, planned stop and settings of an instance. */
+/* Start, periodic tick, planned stop and settings of an instance. */
 #include "gateway/fg_gateway_internal.h"
 
 #include <math.h>
@@ -7,19 +7,20 @@
 
 #define TICK_MS 100
 /* A tick this late means that the process or its machine was suspended. */
-#define PAUSE_MS 1000
-/* A planned stop ends when no request came for this long: callers keep the
- * addresses that they looked up for a few seconds. */
+#define PAUSE_MIN_MS 1000
+/* A planned stop waits until no request came for this long, since callers keep
+ * using the addresses that they looked up for a few seconds. */
 #define STOP_QUIET_MS 1500
-/* The end of a stop leaves this much of the time until the kill. */
+/* A planned stop ends this long before the process would be killed. */
 #define STOP_MARGIN_MS 300
-/* The settings file may change without a signal. */
-#define SETTINGS_MS 2000
-
-/* Engines of the deployments at hand: 25.8 prompt tokens a ms, 250 ms for an
- * adapter from the weight store and a tenth of it for one held before; 12 ms
- * one way between regions. The penalties are the waits accepted to avoid what
- * costs others: a load, and traffic between regions. */
+/* Interval at which the settings file is checked for changes, since it may
+ * change without a SIGHUP. */
+#define SETTINGS_CHECK_MS 2000
+
+/* Current engines read 25.8 prompt tokens a ms, and load an adapter in 250 ms
+ * from the weight store or in a tenth of that when they held it before. One way
+ * between regions takes 12 ms. The penalties are the waits that a request
+ * accepts to avoid costs for others: a load, and traffic between regions. */
 static const struct fg_balance_conf balance_defaults = {
 	.prefill_tokens_per_ms = 25.8,
 	.load_ms = 250,
@@ -32,8 +33,8 @@
 	.plain_request_ms = 30,
 };
 
-/* Requests that crash endpoints: refused after three crashes of different
- * endpoints; kept as long as callers may come back with one. */
+/* A request that crashed three different endpoints is refused. Suspects are
+ * remembered as long as callers may retry such a request. */
 static const struct fg_suspects_conf suspects_conf = {
 	.retention_ms = 120000,
 	.refuse_crashes = 3,
@@ -42,18 +43,19 @@
 	.entries_max = 4096,
 };
 
-/* Popularity follows demand within seconds; shorter, and the few requests that
- * one instance sees of an adapter would tell little. */
-#define HEAT_HALF_LIFE_MS 5000
+/* Popularity follows demand within seconds. With a shorter half-life, the few
+ * requests that one instance gets for an adapter would be a poor sample. */
+#define POPULARITY_HALF_LIFE_MS 5000
 
-/* Part of the shared budget of repeats that is used: instances do not know
- * each other's counts, and windows slide. */
-#define BUDGET_SHARE_PERCENT 70
+/* Share of the configured retry budget that is used. The rest is a margin: the
+ * instances do not know each other's counts, and their windows slide. */
+#define BUDGET_USED_PERCENT 70
 #define BUDGET_SERVICES_MAX 64
 
-/* ---- Small helpers ---- */
+/* ---- Helpers ---- */
 
-void fg_gw_count(struct fg_gateway *gw, const char *name, const char *labels)
+void fg_gw_count_event(struct fg_gateway *gw, const char *name,
+		       const char *labels)
 {
 	char full[64];
 
@@ -61,17 +63,17 @@
 	fg_counter_add(fg_metrics_counter(gw->metrics, full, labels, name), 1);
 }
 
-uint64_t fg_gw_version(const struct fg_gateway *gw, uint64_t key, fg_ms now,
-		       fg_ms *age_ms)
+uint64_t fg_gw_announced_version(const struct fg_gateway *gw, uint64_t key,
+				 fg_ms now, fg_ms *age_ms)
 {
-	const struct fg_wanted_version *w =
-		g_hash_table_lookup(gw->versions, &key);
+	const struct fg_announced_version *announced =
+		g_hash_table_lookup(gw->announced_versions, &key);
 
-	*age_ms = w == NULL ? 0 : now - w->since;
-	return w == NULL ? 0 : w->version;
+	*age_ms = announced == NULL ? 0 : now - announced->announced_at;
+	return announced == NULL ? 0 : announced->version;
 }
 
-static fg_av heat_key(uint64_t adapter)
+static fg_av popularity_key(uint64_t adapter)
 {
 	fg_av av = { .adapter = (uint32_t)(adapter >> 32),
 		     .ver = (uint32_t)adapter };
@@ -79,27 +81,29 @@
 	return av;
 }
 
-/* Tokens a second over all instances: callers spread over them at random. */
-double fg_gw_heat(struct fg_gateway *gw, fg_ms now, uint64_t adapter,
-		  uint32_t tokens)
+/* Scales the local rate by the number of instances, since callers choose an
+ * instance at random. */
+double fg_gw_update_token_rate(struct fg_gateway *gw, fg_ms now,
+			       uint64_t adapter, uint32_t tokens)
 {
 	uint32_t instances = fg_peers_alive(gw->peers, now) + 1;
 
 	if (tokens > 0)
-		fg_heat_add(gw->heat, now, heat_key(adapter), tokens);
-	return fg_heat_get(gw->heat, now, heat_key(adapter)) * M_LN2 *
-	       FG_MS_PER_S / HEAT_HALF_LIFE_MS * instances;
+		fg_heat_add(gw->popularity, now, popularity_key(adapter),
+			    tokens);
+	return fg_heat_get(gw->popularity, now, popularity_key(adapter)) *
+	       M_LN2 * FG_MS_PER_S / POPULARITY_HALF_LIFE_MS * instances;
 }
 
-/* The budget is one for all instances; each takes an equal part of the slack
- * and its own part of the ratio, which follows its own requests. */
-struct fg_retry *fg_gw_budget(struct fg_gateway *gw, const char *service)
+/* The configured budget applies to all instances together. Each takes an equal
+ * part of the slack, and the ratio of its own requests. */
+struct fg_retry *fg_gw_retry_budget(struct fg_gateway *gw, const char *service)
 {
-	struct fg_retry *r = g_hash_table_lookup(gw->budgets, service);
+	struct fg_retry *r = g_hash_table_lookup(gw->retry_budgets, service);
 	uint32_t instances = fg_peers_all(gw->peers)->len + 1;
 	struct fg_retry_conf conf = {
-		.percent = gw->conf->retry_percent * BUDGET_SHARE_PERCENT / 100,
-		.min_per_10s = gw->conf->retry_slack * BUDGET_SHARE_PERCENT /
+		.percent = gw->conf->retry_percent * BUDGET_USED_PERCENT / 100,
+		.min_per_10s = gw->conf->retry_slack * BUDGET_USED_PERCENT /
 			       100 / MAX(instances, 1),
 		.attempts_max = UINT32_MAX,
 	};
@@ -107,7 +111,7 @@
 	if (r != NULL)
 		return r;
 	r = fg_retry_new(&conf, fg_rand_next(&gw->rand));
-	g_hash_table_insert(gw->budgets, g_strdup(service), r);
+	g_hash_table_insert(gw->retry_budgets, g_strdup(service), r);
 	return r;
 }
 
@@ -133,7 +137,7 @@
 
 /* ---- Settings ---- */
 
-static void check_settings(struct fg_gateway *gw)
+static void reload_settings(struct fg_gateway *gw)
 {
 	struct fg_gwconf *conf;
 	GError *why = NULL;
@@ -160,7 +164,7 @@
 		g_error_free(why);
 		return;
 	}
-	/* Addresses and names hold until the next start. */
+	/* Addresses and names change only at the next start. */
 	gw->conf->retry_percent = conf->retry_percent;
 	gw->conf->retry_slack = conf->retry_slack;
 	gw->conf->stop_grace_ms = conf->stop_grace_ms;
@@ -170,14 +174,14 @@
 	gw->conf->connections_max = conf->connections_max;
 	gw->conf->log_level = conf->log_level;
 	fg_log_open(gw->conf->name, conf->log_level);
-	g_hash_table_remove_all(gw->budgets);
+	g_hash_table_remove_all(gw->retry_budgets);
 	fg_log(FG_LOG_INFO, "settings", "reloaded", NULL);
 	fg_gwconf_free(conf);
 }
 
 /* ---- Planned stop ---- */
 
-static void start_stop(struct fg_gateway *gw)
+static void begin_stop(struct fg_gateway *gw)
 {
 	fg_ms now = fg_clock_now();
 
@@ -185,10 +189,10 @@
 		return;
 	gw->stopping = true;
 	gw->stopping_since = now;
-	gw->stop_at = now + gw->conf->stop_grace_ms - STOP_MARGIN_MS;
+	gw->stop_deadline = now + gw->conf->stop_grace_ms - STOP_MARGIN_MS;
 	gw->quiet_since = now;
 	fg_log(FG_LOG_INFO, "gateway", "stopping", NULL);
-	fg_mesh_heartbeat_now(gw);
+	fg_gw_mesh_send_heartbeat(gw);
 	gw->far_heartbeat_at = 0;
 }
 
@@ -202,9 +206,10 @@
 	}
 }
 
-/* Takes no further request. The loop goes on for one more tick: it may read
- * from connections in the very turn in which it is stopped. */
-static void close_idle(struct fg_gateway *gw)
+/* Takes no further requests and closes the connections that carry none. The
+ * event loop runs for one more tick, since it may still read from connections
+ * in the iteration in which uv_stop() is called. */
+static void close_idle_callers(struct fg_gateway *gw)
 {
 	gw->closing = true;
 	close_listeners(gw);
@@ -216,29 +221,30 @@
 	}
 }
 
-static void step_stop(struct fg_gateway *gw, fg_ms now)
+static void advance_stop(struct fg_gateway *gw, fg_ms now)
 {
 	if (gw->reqs->len > 0)
 		gw->quiet_since = now;
-	if (gw->closing && (gw->reqs->len == 0 || now >= gw->stop_at))
+	if (gw->closing && (gw->reqs->len == 0 || now >= gw->stop_deadline))
 		uv_stop(&gw->loop);
-	else if (now - gw->quiet_since >= STOP_QUIET_MS || now >= gw->stop_at)
-		close_idle(gw);
+	else if (now - gw->quiet_since >= STOP_QUIET_MS ||
+		 now >= gw->stop_deadline)
+		close_idle_callers(gw);
 }
 
-/* ---- Clock ---- */
+/* ---- Periodic tick ---- */
 
 static void check_pause(struct fg_gateway *gw, fg_ms now)
 {
 	char ms[24];
 
-	if (now - gw->ticked < PAUSE_MS)
+	if (now - gw->last_tick_at < PAUSE_MIN_MS)
 		return;
-	g_snprintf(ms, sizeof(ms), "%lld", (long long)(now - gw->ticked));
+	g_snprintf(ms, sizeof(ms), "%lld", (long long)(now - gw->last_tick_at));
 	fg_log(FG_LOG_WARN, "gateway", "paused", "ms", ms, NULL);
-	/* Another instance may give the orders by now. */
-	gw->claims_checked = false;
-	fg_relay_distrust(gw, now);
+	/* Another instance may have taken over engines during the pause. */
+	gw->claims_current = false;
+	fg_gw_relay_suspend(gw, now);
 	for (int i = 0; i < FG_FEED_COUNT; i++)
 		fg_channel_break(gw->feeds[i].channel);
 }
@@ -249,19 +255,19 @@
 	fg_ms now = fg_clock_now();
 
 	check_pause(gw, now);
-	gw->ticked = now;
+	gw->last_tick_at = now;
 	fg_fleet_tick(gw->fleet, now);
 	fg_caller_sweep(gw, now);
-	fg_orders_check(gw, now);
+	fg_orders_refresh(gw, now);
 	fg_sync_tick(gw, now);
-	fg_mesh_tick(gw, now);
+	fg_gw_mesh_tick(gw, now);
 	if (gw->stopping)
-		step_stop(gw, now);
+		advance_stop(gw, now);
 }
 
 static void on_settings_tick(uv_timer_t *timer)
 {
-	check_settings(timer->data);
+	reload_settings(timer->data);
 }
 
 static void on_signal(uv_signal_t *handle, int signo)
@@ -269,24 +275,24 @@
 	struct fg_gateway *gw = handle->data;
 
 	if (signo == SIGHUP)
-		check_settings(gw);
+		reload_settings(gw);
 	else
-		start_stop(gw);
+		begin_stop(gw);
 }
 
 /* ---- Start ---- */
 
-static const char *region_of(void *ctx, const char *dc)
+static const char *dc_region(void *ctx, const char *dc)
 {
 	const struct fg_gateway *gw = ctx;
 
 	return fg_gwconf_region(gw->conf, dc);
 }
 
-static void on_dropped(void *ctx, struct fg_fleet_ep *ep)
+static void on_endpoint_dropped(void *ctx, struct fg_fleet_ep *ep)
 {
 	fg_log(FG_LOG_INFO, "endpoint", "gone", "endpoint", ep->facts.id, NULL);
-	fg_ep_user_drop(ctx, ep);
+	fg_ep_local_free(ctx, ep);
 }
 
 static bool open_port(struct fg_gateway *gw, enum fg_port_kind kind,
@@ -321,7 +327,7 @@
 	    !open_port(gw, FG_PORT_METRICS, conf->metrics, error) ||
 	    !open_port(gw, FG_PORT_RELAY, conf->mesh, error))
 		return false;
-	rc = fg_mesh_open(gw);
+	rc = fg_gw_mesh_open(gw);
 	if (rc == 0)
 		return true;
 	g_set_error(error, FG_GWCONF_ERROR, FG_GWCONF_ERR_INVALID,
@@ -341,7 +347,7 @@
 	}
 }
 
-static void make_parts(struct fg_gateway *gw)
+static void init_members(struct fg_gateway *gw)
 {
 	struct fg_peer_row self = { .incarnation = gw->incarnation };
 
@@ -352,15 +358,15 @@
 	fg_loadgate_init(&gw->loadgate, gw->balance.load_ms);
 	gw->callers = g_ptr_array_new();
 	gw->reqs = g_ptr_array_new();
-	gw->versions = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					     g_free);
-	gw->fleet = fg_fleet_new(region_of, on_dropped, gw);
+	gw->announced_versions = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, NULL, g_free);
+	gw->fleet = fg_fleet_new(dc_region, on_endpoint_dropped, gw);
 	gw->claims = fg_claims_new(gw->incarnation);
 	gw->peers = fg_peers_new(&self);
-	gw->heat = fg_heat_new(HEAT_HALF_LIFE_MS);
+	gw->popularity = fg_heat_new(POPULARITY_HALF_LIFE_MS);
 	gw->suspects = fg_suspects_new(&suspects_conf);
-	gw->budgets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					    (GDestroyNotify)fg_retry_free);
+	gw->retry_budgets = g_hash_table_new_full(
+		g_str_hash, g_str_equal, g_free, (GDestroyNotify)fg_retry_free);
 	gw->metrics = fg_metrics_new();
 	gw->hist_first =
 		fg_metrics_hist(gw->metrics, "fg_gw_first_ms", NULL,
@@ -381,8 +387,8 @@
 	gw->conf = conf;
 	gw->conf_path = g_strdup(path);
 	gw->wire = wire;
-	gw->started = fg_clock_now();
-	gw->ticked = gw->started;
+	gw->started_at = fg_clock_now();
+	gw->last_tick_at = gw->started_at;
 	if (uv_random(NULL, NULL, &seed, sizeof(seed), 0, NULL) != 0)
 		seed = (uint64_t)fg_clock_wall() ^ fg_hash_str(conf->name);
 	fg_rand_seed(&gw->rand, seed);
@@ -390,8 +396,9 @@
 	uv_loop_init(&gw->loop);
 	uv_timer_init(&gw->loop, &gw->tick);
 	gw->tick.data = gw;
-	make_parts(gw);
-	/* A stop that comes early must not cut off what a socket let in. */
+	init_members(gw);
+	/* Signals come before sockets: a stop right after the start must not
+	 * cut off a request that a socket already accepted. */
 	start_signals(gw);
 	if (!open_sockets(gw, error)) {
 		fg_gateway_free(gw);
@@ -404,10 +411,11 @@
 {
 	uv_timer_t *settings = fg_gw_timer_new(gw, gw);
 
-	check_settings(gw);
+	reload_settings(gw);
 	fg_sync_start(gw);
 	uv_timer_start(&gw->tick, on_tick, TICK_MS, TICK_MS);
-	uv_timer_start(settings, on_settings_tick, SETTINGS_MS, SETTINGS_MS);
+	uv_timer_start(settings, on_settings_tick, SETTINGS_CHECK_MS,
+		       SETTINGS_CHECK_MS);
 	fg_log(FG_LOG_INFO, "gateway", "started", "front", gw->conf->front,
 	       NULL);
 	uv_run(&gw->loop, UV_RUN_DEFAULT);
@@ -415,52 +423,52 @@
 	fg_gw_timer_free(settings);
 }
 
-static void close_left(uv_handle_t *handle, void *ctx)
+static void close_handle(uv_handle_t *handle, void *ctx)
 {
 	(void)ctx;
 	if (!uv_is_closing(handle))
 		uv_close(handle, NULL);
 }
 
-/* Stops timers, signals and listeners; closing connections remain. */
-static void close_sources(struct fg_gateway *gw)
+/* Closes the tick, signals and listeners; connections stay open. */
+static void close_event_sources(struct fg_gateway *gw)
 {
-	close_left((uv_handle_t *)&gw->tick, NULL);
+	close_handle((uv_handle_t *)&gw->tick, NULL);
 	if (gw->mesh.data != NULL)
-		close_left((uv_handle_t *)&gw->mesh, NULL);
+		close_handle((uv_handle_t *)&gw->mesh, NULL);
 	for (size_t i = 0; i < G_N_ELEMENTS(gw->signals); i++) {
 		if (gw->signals[i].data != NULL)
-			close_left((uv_handle_t *)&gw->signals[i], NULL);
+			close_handle((uv_handle_t *)&gw->signals[i], NULL);
 	}
 	close_listeners(gw);
 }
 
 void fg_gateway_free(struct fg_gateway *gw)
 {
-	close_sources(gw);
+	close_event_sources(gw);
 	while (gw->callers->len > 0) {
 		struct fg_caller *c = gw->callers->pdata[gw->callers->len - 1];
 
 		fg_caller_close(c, false);
 		fg_caller_sweep(gw, fg_clock_now());
 	}
-	if (gw->tx != NULL)
+	if (gw->tx_channel != NULL)
 		fg_sync_stop(gw);
 	fg_fleet_free(gw->fleet);
-	uv_run(&gw->loop, UV_RUN_NOWAIT); /* connections closed just now */
+	uv_run(&gw->loop, UV_RUN_NOWAIT); /* ends closed connections */
 	fg_claims_free(gw->claims);
 	fg_peers_free(gw->peers);
-	fg_heat_free(gw->heat);
+	fg_heat_free(gw->popularity);
 	fg_suspects_free(gw->suspects);
 	fg_routes_unref(gw->routes);
-	g_hash_table_unref(gw->versions);
-	g_hash_table_unref(gw->budgets);
+	g_hash_table_unref(gw->announced_versions);
+	g_hash_table_unref(gw->retry_budgets);
 	g_ptr_array_unref(gw->callers);
 	g_ptr_array_unref(gw->reqs);
 	if (gw->crashes != NULL)
 		g_array_unref(gw->crashes);
 	fg_metrics_free(gw->metrics);
-	uv_walk(&gw->loop, close_left, NULL);
+	uv_walk(&gw->loop, close_handle, NULL);
 	uv_run(&gw->loop, UV_RUN_DEFAULT);
 	uv_loop_close(&gw->loop);
 	g_free(gw->conf_path);
--- a/lib/gateway/fg_gateway_internal.h
+++ b/lib/gateway/fg_gateway_internal.h
@@ -1,20 +1,23 @@
 /*
- * What the files of lib/gateway share.
+ * fg_gateway_internal - declarations shared by the files of lib/gateway.
  *
- *   fg_gateway.c     start, clock tick, planned stop, settings
+ *   fg_gateway.c     start, periodic tick, planned stop, settings
  *   fg_gw_caller.c   connections of callers
  *   fg_gw_request.c  a request from its head to its final answer
- *   fg_gw_place.c    where it runs, and its wait for a load
- *   fg_gw_send.c     one sending of a request to an endpoint
- *   fg_gw_answer.c   an endpoint's answer on its way to the caller
+ *   fg_gw_place.c    choice of an endpoint, and the wait for a load
+ *   fg_gw_send.c     one send of a request to an endpoint
+ *   fg_gw_answer.c   forwarding of an endpoint's answer to the caller
  *   fg_gw_sync.c     change feeds of the store's tables
- *   fg_gw_rows.c     what their rows mean
- *   fg_gw_relay.c    taking rows from a neighbour, and giving them
- *   fg_gw_own.c      the rows that this instance writes
+ *   fg_gw_rows.c     decoding and applying rows of these tables
+ *   fg_gw_relay.c    rows taken from and served to neighbours
+ *   fg_gw_own.c      rows that this instance writes
  *   fg_gw_orders.c   adapter loads of the engines that this instance orders
- *   fg_gw_mesh.c     heartbeats and messages to other instances
- *   fg_gw_hear.c     ... and from them
- *   fg_gw_pages.c    address lookup, readiness, metrics, state
+ *   fg_gw_mesh.c     messages sent to other instances
+ *   fg_gw_hear.c     messages received from other instances
+ *   fg_gw_pages.c    address lookup, readiness, metrics, state dump
+ *
+ * A neighbour is another instance in the same data centre. Times of type fg_ms
+ * are readings of fg_clock_now() unless a comment says otherwise.
  */
 #ifndef FG_GATEWAY_INTERNAL_H
 #define FG_GATEWAY_INTERNAL_H
@@ -46,15 +49,15 @@
 struct fg_gateway;
 struct fg_caller;
 struct fg_gwreq;
-struct fg_up;
+struct fg_ep_conn;
 
 /* What a listening socket serves. */
 enum fg_port_kind {
-	FG_PORT_FRONT = 0,
-	FG_PORT_READY = 1,
-	FG_PORT_DIRECTORY = 2,
-	FG_PORT_METRICS = 3,
-	FG_PORT_RELAY = 4, /* for other instances */
+	FG_PORT_FRONT = 0,     /* requests of callers */
+	FG_PORT_READY = 1,     /* readiness check */
+	FG_PORT_DIRECTORY = 2, /* address lookup */
+	FG_PORT_METRICS = 3,   /* /metrics and /state */
+	FG_PORT_RELAY = 4,     /* rows for other instances */
 	FG_PORT_COUNT = 5,
 };
 
@@ -67,47 +70,57 @@
 
 /* ---- Callers ---- */
 
+/* A connection that a caller, an operator's tool or another instance opened. */
 struct fg_caller {
 	struct fg_gateway *gw;
 	enum fg_port_kind kind;
-	struct fg_link *link;
+	struct fg_link *link; /* NULL once closed */
 	struct fg_h1 h1;
-	GByteArray *unread; /* bytes behind the current request */
-	GByteArray *body;
-	struct fg_gwreq *req; /* in progress */
-	fg_ms since;	      /* begin of the current wait: head or idle */
-	bool bad;	      /* its last message was refused as malformed */
-	bool last;	      /* no further request on this connection */
+	GByteArray *pipelined; /* bytes received after the current request */
+	GByteArray *body;      /* of the current request */
+	struct fg_gwreq *req;  /* in progress, or NULL */
+	fg_ms wait_since;      /* start of the current head or idle timeout */
+	bool malformed;	       /* its last message was refused */
+	bool close_after;      /* close the connection after the answer */
 };
 
+/* libuv callback: accepts a connection of the port in listener->data. */
 void fg_caller_accept(uv_stream_t *listener, int status);
+
+/* Closes connections that exceed a time limit and frees closed ones. */
 void fg_caller_sweep(struct fg_gateway *gw, fg_ms now);
 
-/* A final answer of the gateway's own. `retry_ms` 0: no Retry-After. */
+/* Sends a complete answer that does not come from an endpoint. `request_id` and
+ * `type` may be NULL; with `retry_ms` 0 there is no Retry-After field. */
 void fg_caller_answer(struct fg_caller *c, unsigned int status,
 		      const char *request_id, uint32_t retry_ms,
 		      const char *type, const char *body, size_t len_bytes);
 
-/* The answer is complete: the connection goes on or closes. */
-void fg_caller_done(struct fg_caller *c);
+/* Call after the last byte of an answer was queued: closes the connection or
+ * reads the next request from it. */
+void fg_caller_finish_answer(struct fg_caller *c);
 
-/* Closes with or without sending what is queued. */
+/* Closes the connection and cancels its request. With `flush`, queued bytes
+ * are sent first. */
 void fg_caller_close(struct fg_caller *c, bool flush);
+
+/* Resets the connection, so that the caller cannot take a partial answer for a
+ * complete one. */
 void fg_caller_abort(struct fg_caller *c);
 
 /* ---- Requests ---- */
 
 enum fg_gwreq_state {
-	FG_GWREQ_WAIT_TOTALS = 1, /* for what is in flight at engines */
-	FG_GWREQ_WAIT_LOAD = 2,	  /* for an adapter at `ep` */
-	FG_GWREQ_WAIT_RETRY = 3,
+	FG_GWREQ_WAIT_TOTALS = 1, /* for totals in flight, from owners */
+	FG_GWREQ_WAIT_LOAD = 2,	  /* for an adapter to be loaded at `ep` */
+	FG_GWREQ_WAIT_RETRY = 3,  /* for the next choice of an endpoint */
 	FG_GWREQ_SENT = 4,
 };
 
 #define FG_GWREQ_TRIED_MAX 4
-/* Without this much time left no endpoint can answer. */
-#define FG_GWREQ_LEFT_MIN_MS 10
-/* A refused caller is asked back within this. */
+/* No endpoint can answer in less time than this. */
+#define FG_GWREQ_TIME_LEFT_MIN_MS 10
+/* Upper bound of the Retry-After of a refusal. */
 #define FG_GWREQ_RETRY_MAX_MS 2000
 
 struct fg_gwreq {
@@ -120,166 +133,188 @@
 	const struct fg_svc *service;
 	uint64_t adapter; /* key; 0: none */
 	uint64_t fingerprint;
-	uint64_t number; /* of this process */
-	fg_ms arrived;
-	fg_ms end_at;	  /* final answer at the latest */
-	fg_ms step_at;	  /* of the state; FG_MS_NEVER */
-	fg_ms load_since; /* begin of the wait for a load */
+	uint64_t local_id; /* counts requests of this process */
+	fg_ms arrived_at;
+	fg_ms deadline; /* for the final answer */
+	fg_ms due_at;	/* next step of the current state; FG_MS_NEVER */
+	fg_ms load_wait_since;
 	uv_timer_t *timer;
 	enum fg_gwreq_state state;
-	struct fg_fleet_ep *ep;	   /* reference; of the load or the send */
-	struct fg_ep_adapter *use; /* counted as running there */
-	struct fg_up *up;	   /* of the send */
+	struct fg_fleet_ep *ep; /* reference; of the load or the send */
+	struct fg_ep_adapter *ep_adapter; /* at `ep`, counts this request */
+	struct fg_ep_conn *conn;	  /* of the current send */
 	struct fg_fleet_ep *tried[FG_GWREQ_TRIED_MAX];
 	uint32_t n_tried;
-	uint32_t asked;		 /* engines whose totals are awaited */
+	uint32_t totals_pending; /* owners that have not answered yet */
 	uint32_t sends;		 /* to endpoints */
-	uint32_t runs;		 /* sends that may have run */
-	uint32_t expected_ms;	 /* until the first token, at the send */
-	uint32_t pending_tokens; /* counted at ep while nothing came */
+	uint32_t possible_runs;	 /* ended sends that may have run */
+	uint32_t expected_ms;	 /* to the first token, estimated at the send */
+	uint32_t pending_tokens; /* prompt tokens counted at `ep` until the
+				    first token */
 	fg_ms sent_at;
-	fg_ms first_at;	 /* first part of the answer; 0: none came */
-	bool unsure;	 /* a send may have run, or may run still */
-	bool head_sent;	 /* the answer's head went to the caller */
-	bool first_seen; /* the first event or the head of a plain answer came
-			  */
+	fg_ms first_at;	   /* first part of the answer; 0: none yet */
+	bool may_have_run; /* some send may have run, or may still run */
+	bool head_sent;	   /* the answer's head was sent to the caller */
+	bool answer_begun; /* this send brought an event or a plain head */
 	struct fg_events events;
-	GString *answer; /* body of a plain answer */
-	guint index;	 /* in gw->reqs */
+	GString *answer_body; /* of a plain answer */
+	guint index;	      /* in gw->reqs */
 };
 
-/* The caller's request is whole. */
+/* Starts serving the request that was read from the connection. */
 void fg_gwreq_start(struct fg_caller *c);
 
-/* The caller left. */
+/* Drops the request: the caller closed its connection. */
 void fg_gwreq_cancel(struct fg_gwreq *r);
 
-/* Counts the request as in flight at an endpoint, in place of the one before.
- */
+/* Assigns the request to `ep` and counts it there as in flight, instead of at
+ * the endpoint that it was assigned to before. */
 void fg_gwreq_attach(struct fg_gwreq *r, struct fg_fleet_ep *ep);
 
-/* Its endpoint is avoided from now on. */
-void fg_gwreq_note_tried(struct fg_gwreq *r);
+/* Records r->ep as tried; later choices of this request avoid it. */
+void fg_gwreq_mark_tried(struct fg_gwreq *r);
+
+/* Enters a state whose next step is due at `due_at`. */
+void fg_gwreq_enter_state(struct fg_gwreq *r, enum fg_gwreq_state state,
+			  fg_ms due_at);
 
-/* Enters a state; its step is due at step_at. */
-void fg_gwreq_wait(struct fg_gwreq *r, enum fg_gwreq_state state,
-		   fg_ms step_at);
+/* libuv callback: runs the step that is due. */
 void fg_gwreq_on_timer(uv_timer_t *timer);
 
-/* Its time is over. */
+/* Ends a request whose deadline passed. */
 void fg_gwreq_time_out(struct fg_gwreq *r);
 
-/* Sets the timer to the next of r->step_at and r->end_at. */
-void fg_gwreq_arm(struct fg_gwreq *r);
+/* Sets the timer to the earlier of r->due_at and r->deadline. */
+void fg_gwreq_arm_timer(struct fg_gwreq *r);
 
-/* Counts the end of a request, by kind of route, and by reason unless NULL. */
-void fg_gwreq_count(const struct fg_gwreq *r, const char *outcome,
-		    const char *reason);
+/* Counts the end of a request by kind of route, and also by reason unless that
+ * is NULL. */
+void fg_gwreq_count_outcome(const struct fg_gwreq *r, const char *outcome,
+			    const char *reason);
 
-/* Its first token came: its prompt waits no longer at the endpoint. */
-void fg_gwreq_no_longer_pending(struct fg_gwreq *r);
+/* The first token came: no longer counts the prompt as pending at r->ep. */
+void fg_gwreq_clear_pending(struct fg_gwreq *r);
 
-/* One log line about the request: the outcome, its reason, and what led to it.
- * Times count from its arrival; -1: not yet. */
+/* Write one log line with the outcome of the request, its reason and its
+ * timings. Times count from the arrival of the request; -1: not yet. */
 void fg_gwreq_log(const struct fg_gwreq *r, const char *event,
 		  const char *reason);
 void fg_gwreq_log_routine(const struct fg_gwreq *r, const char *event,
 			  const char *reason);
 
-/* Ends the request; with `give_back` the caller's connection goes on. */
-void fg_gwreq_end(struct fg_gwreq *r);
+/* Frees an answered request; the caller's connection closes or continues with
+ * the next request. */
+void fg_gwreq_finish(struct fg_gwreq *r);
 
-/* A final answer that the request was not run, or failed. */
+/* Gives the final answer 503 with a Retry-After, or fails the request when it
+ * may have run. */
 void fg_gwreq_refuse(struct fg_gwreq *r, const char *reason, uint32_t retry_ms);
+
+/* Gives the final answer `status`, or resets the connection when the head of
+ * an answer was sent already. */
 void fg_gwreq_fail(struct fg_gwreq *r, unsigned int status, const char *reason);
 
-/* Chooses an endpoint and goes on: sends, or waits for a load. */
+/* Chooses an endpoint; sends the request there or waits for a load. */
 void fg_gwreq_place(struct fg_gwreq *r);
 
-/* The totals that a request asked for came. */
-void fg_gwreq_totals(struct fg_gateway *gw, uint32_t number);
+/* An owner answered the request for totals of the request with this local_id
+ * (its low 32 bits). */
+void fg_gwreq_on_totals(struct fg_gateway *gw, uint32_t local_id);
 
-/* The adapters at `ep` changed: requests that wait for them go on. */
-void fg_gwreq_resident(struct fg_gateway *gw, struct fg_fleet_ep *ep);
+/* The resident adapters of `ep` changed: sends the requests whose adapter is
+ * there now. */
+void fg_gwreq_on_resident(struct fg_gateway *gw, struct fg_fleet_ep *ep);
 
-/* The instance that orders `ep` cannot load the adapter now. */
-void fg_gwreq_no_load(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-		      uint64_t adapter);
+/* The owner of `ep` cannot load the adapter now: places the requests that wait
+ * for that load elsewhere. */
+void fg_gwreq_on_load_refused(struct fg_gateway *gw, struct fg_fleet_ep *ep,
+			      uint64_t adapter);
 
-uint32_t fg_gwreq_left_ms(const struct fg_gwreq *r, fg_ms now);
+/* Time until the deadline; 0 after it. */
+uint32_t fg_gwreq_time_left_ms(const struct fg_gwreq *r, fg_ms now);
 
-/* The version that the request's adapter must have by now; 0: any. */
-uint64_t fg_gwreq_version(const struct fg_gwreq *r, fg_ms now);
+/* Oldest version of the adapter that may serve the request now; 0: any. */
+uint64_t fg_gwreq_required_version(const struct fg_gwreq *r, fg_ms now);
 
-/* Name of its adapter; the bare model is one without a name. */
+/* Name of the request's adapter; "" for the bare model. */
 const char *fg_gwreq_adapter_name(const struct fg_gwreq *r);
 
-/* Urgency of the request at an engine. */
+/* Urgency of the request at an engine, from 0 (first) to 9 (last). */
 uint32_t fg_gwreq_urgency(const struct fg_gwreq *r);
 
 /* ---- Sends ---- */
 
 enum fg_send_end {
 	FG_SEND_NOT_SENT = 1, /* no byte reached the endpoint */
-	FG_SEND_NOT_RUN = 2,  /* the endpoint says that it did not run it */
-	FG_SEND_ABSENT = 3, /* ... since model, adapter or version is absent */
-	FG_SEND_ERROR = 4,  /* the endpoint failed it */
-	FG_SEND_BROKEN = 5, /* no whole answer: it may have run */
+	FG_SEND_NOT_RUN = 2,  /* the endpoint reports that it did not run */
+	FG_SEND_ABSENT = 3,   /* not run: model, adapter or version is absent */
+	FG_SEND_ERROR = 4,    /* the endpoint answered with an error */
+	FG_SEND_BROKEN = 5,   /* no complete answer: it may have run */
 };
 
-struct fg_up {
+/* A connection to an endpoint. */
+struct fg_ep_conn {
 	struct fg_gateway *gw;
 	struct fg_fleet_ep *ep; /* reference */
-	struct fg_link *link;
+	struct fg_link *link;	/* NULL once closed */
 	struct fg_h1 h1;
 	struct fg_gwreq *req; /* NULL while idle */
-	fg_ms idle_until;
-	uint64_t unread_body; /* of the request, when the answer began */
+	fg_ms idle_until;     /* not reused from then on */
+	uint64_t unread_body; /* bytes of the request that were still queued
+				 when the answer began */
 	bool connected;
 	bool reused;
 	bool head_seen;
-	bool skip; /* this answer belongs to no request */
+	bool skip_message; /* informational, or the answer to another request */
 	struct fg_wire_reply reply;
 	unsigned int status;
 };
 
-/* What this instance keeps of an endpoint beside its record in the fleet. */
-struct fg_ep_user {
-	GPtrArray *idle; /* struct fg_up *, latest last */
-	fg_ms heard;	 /* last byte from it */
+/* State that this instance keeps for an endpoint, in addition to the record in
+ * the fleet. `slots` to `fence` and `facts_seen` are in use only while this
+ * instance orders the endpoint's adapter loads; `slots` is NULL otherwise. */
+struct fg_ep_local {
+	GPtrArray *idle; /* struct fg_ep_conn *, most recently used last */
+	fg_ms heard_at;	 /* last byte from the endpoint, on any connection */
 	struct fg_losses losses;
-	/* As the one that orders its loads; NULL otherwise. */
 	struct fg_slots *slots;
-	struct fg_uses uses; /* of all instances but this one */
+	struct fg_uses uses; /* in flight from the other instances */
 	struct fg_channel *channel;
 	uv_timer_t *timer;
 	uint64_t fence;
 	struct fg_gateway *gw;
 	struct fg_fleet_ep *ep;
-	struct fg_ep_facts facts_seen; /* as of the last reset */
+	struct fg_ep_facts facts_seen; /* when ordering began */
 };
 
-struct fg_ep_user *fg_ep_user_of(struct fg_gateway *gw, struct fg_fleet_ep *ep);
-/* The endpoint proved to have ended: requests lost there may be why. */
-void fg_ep_user_died(struct fg_ep_user *u);
+/* Returns the local state of `ep`, created when missing. */
+struct fg_ep_local *fg_ep_local_get(struct fg_gateway *gw,
+				    struct fg_fleet_ep *ep);
 
-void fg_ep_user_drop(struct fg_gateway *gw, struct fg_fleet_ep *ep);
+/* The endpoint is known to have ended: reports a crash for each request that
+ * was lost there recently. */
+void fg_ep_local_report_losses(struct fg_ep_local *local);
+
+/* Frees the local state of `ep` and closes its idle connections. */
+void fg_ep_local_free(struct fg_gateway *gw, struct fg_fleet_ep *ep);
 
 /* Sends the request to r->ep. */
 void fg_send_start(struct fg_gwreq *r);
 
-/* The time r->step_at passed while the request is sent: no connection, or no
- * first part of an answer. */
-void fg_send_overdue(struct fg_gwreq *r, fg_ms now);
+/* r->due_at passed during a send: the connection was not established, or no
+ * part of an answer came. */
+void fg_send_on_timeout(struct fg_gwreq *r, fg_ms now);
 
-/* Takes the request off its connection; the endpoint sees it closed. */
+/* Ends the send by closing its connection, which the endpoint notices. */
 void fg_send_cancel(struct fg_gwreq *r);
 
-/* The request's sending ended without an answer for the caller. */
-void fg_gwreq_send_ended(struct fg_gwreq *r, enum fg_send_end end,
-			 const char *why);
+/* A send ended without an answer for the caller: sends the request again, or
+ * fails or refuses it. */
+void fg_gwreq_on_send_end(struct fg_gwreq *r, enum fg_send_end end,
+			  const char *why);
 
-/* The answer's parts, from the connection; false: it is no proper answer. */
+/* Take the parts of an answer as the connection reads them. fg_answer_head()
+ * always returns true. */
 bool fg_answer_head(struct fg_gwreq *r, const struct fg_h1_head *head);
 void fg_answer_body(struct fg_gwreq *r, const char *data, size_t len_bytes);
 void fg_answer_end(struct fg_gwreq *r, const struct fg_h1_head *head);
@@ -289,193 +324,238 @@
 enum fg_feed_id {
 	FG_FEED_CONFIG = 0,
 	FG_FEED_REGISTRY = 1,
-	FG_FEED_OWN = 2,
+	FG_FEED_OWN = 2, /* the instances' own rows */
 	FG_FEED_COUNT = 3,
 };
 
+/* One table of the store: a full read, then its change feed. */
 struct fg_feed {
 	struct fg_gateway *gw;
 	enum fg_feed_id id;
 	const char *table;
-	struct fg_channel *channel;
+	struct fg_channel *channel; /* to the store */
 	uv_timer_t *timer;
-	uint64_t after;			/* version read so far */
-	uint64_t newest;		/* of the newest row that matters */
-	struct fg_relay *relay;		/* such rows, for neighbours */
-	struct fg_channel *from_reader; /* NULL: this instance reads itself */
-	bool ask_once;	       /* ask the store although a neighbour reads it */
-	uint64_t read_version; /* of the first page of a full read */
-	char *from;	       /* next key of a full read */
-	bool reading;	       /* full read, else feed */
-	bool complete;	       /* one full read is done */
-	fg_ms sent_at;
-	fg_ms confirmed; /* last answer */
-	uint32_t failures;
-	uint32_t calls; /* to the store */
+	uint64_t synced_version; /* all rows up to this version were read */
+	uint64_t newest_version; /* of the newest row that matters to others */
+	struct fg_relay *relay;	 /* rows kept for neighbours */
+	struct fg_channel *reader_channel; /* NULL: the store is read here */
+	bool read_store_once; /* one call although a neighbour reads the store
+			       */
+	uint64_t full_read_version; /* of the first page of a full read */
+	char *next_key;		    /* of a full read */
+	bool in_full_read;
+	bool full_read_done; /* at least one is complete */
+	fg_ms sent_at;	     /* last call to the store */
+	fg_ms confirmed_at;  /* last answer of the store, here or at a reader */
+	uint32_t failures;   /* calls that failed in a row */
+	uint32_t store_calls;
 };
 
-/* The table of the instances' own rows, and its keys. */
+/* The table of the instances' own rows, and prefixes of its keys. */
 #define FG_SYNC_TABLE_OWN "fulmargauge"
 #define FG_SYNC_KEY_INSTANCE "instance/"
 #define FG_SYNC_KEY_OWNER "owner/"
 
 void fg_sync_start(struct fg_gateway *gw);
 void fg_sync_stop(struct fg_gateway *gw);
+
+/* Follows the reader, and writes the own row and claims when they are due. */
 void fg_sync_tick(struct fg_gateway *gw, fg_ms now);
-void fg_sync_write_self(struct fg_gateway *gw);
 
-/* Asks the store for what the feed lacks, unless a call is in flight. */
-void fg_sync_ask(struct fg_feed *f);
+/* Writes the row that announces this instance. */
+void fg_sync_write_own_row(struct fg_gateway *gw);
+
+/* Reads from the store what the feed lacks, unless a call is in flight. */
+void fg_sync_read_store(struct fg_feed *f);
 
-/* Rows that a neighbour passed on. */
-void fg_sync_take_relayed(struct fg_feed *f, const struct fg_store_rows *rows,
-			  fg_ms now);
+/* Applies rows that a neighbour served. */
+void fg_sync_apply_relayed(struct fg_feed *f, const struct fg_store_rows *rows,
+			   fg_ms now);
 
-/* The feed has read all that there was at `when`. */
-void fg_sync_confirmed(struct fg_feed *f, fg_ms when);
+/* The feed has read everything that the store held at `when`. */
+void fg_sync_mark_confirmed(struct fg_feed *f, fg_ms when);
 
-/* A row was read from the feed's table. True when it matters to others: a
- * registry entry that tells only of loaded adapters does not. */
-bool fg_sync_take_row(struct fg_feed *f, const struct fg_store_row *row,
-		      fg_ms now);
+/* Applies a row of the feed's table. Returns true when neighbours need the
+ * row; they need no registry entry that only lists other loaded adapters. */
+bool fg_sync_apply_row(struct fg_feed *f, const struct fg_store_row *row,
+		       fg_ms now);
 
 /* Another instance has read a newer row of the configuration. */
-void fg_sync_config_behind(struct fg_gateway *gw, fg_ms now);
+void fg_sync_on_config_behind(struct fg_gateway *gw, fg_ms now);
 
 /* ---- Rows from a neighbour ---- */
 
-/* Chooses who reads the store, and takes rows from that neighbour. */
-void fg_relay_follow(struct fg_gateway *gw, fg_ms now);
+/* Chooses who reads the store, and fetches rows from that neighbour. */
+void fg_gw_relay_follow(struct fg_gateway *gw, fg_ms now);
 
-/* A heartbeat of this peer told of its feeds. */
-void fg_relay_heard(struct fg_gateway *gw, const struct fg_mesh_peer *peer,
-		    fg_ms now);
+/* A heartbeat of this peer reported the state of its feeds. */
+void fg_gw_relay_on_heartbeat(struct fg_gateway *gw,
+			      const struct fg_mesh_peer *peer, fg_ms now);
 
-/* What was heard of the neighbours may be old: asks the store for a while. */
-void fg_relay_distrust(struct fg_gateway *gw, fg_ms now);
+/* Reads the store here for a while, since heartbeats received so far may be
+ * outdated. */
+void fg_gw_relay_suspend(struct fg_gateway *gw, fg_ms now);
 
-/* What heartbeats tell of the feeds here. */
-void fg_relay_status(const struct fg_gateway *gw, fg_ms now,
-		     fg_mesh_store *out);
+/* Fills the state of the feeds here into a heartbeat. */
+void fg_gw_relay_fill_status(const struct fg_gateway *gw, fg_ms now,
+			     fg_mesh_store *out);
 
-/* A neighbour's call for rows. */
-void fg_relay_answer(struct fg_caller *c);
+/* Answers a neighbour's call for rows. */
+void fg_gw_relay_answer_call(struct fg_caller *c);
 
 /* ---- Orders ---- */
 
-void fg_orders_check(struct fg_gateway *gw, fg_ms now);
+/* Starts or stops ordering loads at each engine, as claims and the registry
+ * say, and refreshes what is known of the engines ordered here. */
+void fg_orders_refresh(struct fg_gateway *gw, fg_ms now);
+
+/* Requests a load of the adapter at `ep`, here or from its owner. Returns the
+ * state of the adapter there; FG_SLOT_PENDING while the owner was asked. */
+enum fg_slot_state fg_orders_request_load(struct fg_gateway *gw,
+					  struct fg_fleet_ep *ep,
+					  const char *model,
+					  const char *adapter,
+					  uint64_t version);
 
-/* Have the adapter loaded at the endpoint, here or by its owner. */
-enum fg_slot_state fg_orders_want(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-				  const char *model, const char *adapter,
-				  uint64_t version);
+/* The number of this instance's requests in flight at `ep` for one adapter
+ * changed: records the use here, or reports it to the owner. */
+void fg_orders_note_use(struct fg_gateway *gw, struct fg_fleet_ep *ep,
+			struct fg_ep_adapter *a);
 
-/* What this instance has in flight there, of one adapter, changed. */
-void fg_orders_used(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-		    struct fg_ep_adapter *a);
+/* Another instance reported its requests in flight at an engine; ignored
+ * unless the engine is ordered here. */
+void fg_orders_apply_use(struct fg_gateway *gw, struct fg_fleet_ep *ep,
+			 const struct fg_use *use);
 
-/* Another instance reported what it has in flight at an engine ordered here. */
-void fg_orders_take_use(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-			const struct fg_use *use);
-void fg_orders_announced(struct fg_gateway *gw, uint64_t key, uint64_t version);
-void fg_orders_drop(struct fg_ep_user *u);
+/* A new version of an adapter was announced. */
+void fg_orders_on_announcement(struct fg_gateway *gw, uint64_t key,
+			       uint64_t version);
+
+/* Stops ordering loads at an endpoint. */
+void fg_orders_release(struct fg_ep_local *local);
 
 /* ---- Mesh ---- */
 
-/* A crash that heartbeats still tell. */
+/* A crash that is still repeated in heartbeats. */
 struct fg_crash_notice {
 	fg_mesh_crash crash;
-	uint32_t left; /* heartbeats */
+	uint32_t left; /* heartbeats that still carry it */
 };
 
-int fg_mesh_open(struct fg_gateway *gw);
-void fg_mesh_init_packet(struct fg_gateway *gw, fg_mesh_packet *packet,
-			 fg_mesh_kind kind);
-void fg_mesh_send(struct fg_gateway *gw, const char *address,
-		  const fg_mesh_packet *packet);
-void fg_mesh_send_bytes(struct fg_gateway *gw, const char *address,
-			const char *bytes, size_t len);
-void fg_mesh_take_crash(struct fg_gateway *gw, uint64_t by,
-			const fg_mesh_crash *crash, fg_ms now);
-void fg_mesh_report_crash(struct fg_gateway *gw, const fg_mesh_crash *crash);
-void fg_mesh_tick(struct fg_gateway *gw, fg_ms now);
-void fg_mesh_heartbeat_now(struct fg_gateway *gw);
-void fg_mesh_send_use(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-		      struct fg_ep_adapter *a);
-void fg_mesh_ask_totals(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-			uint32_t number);
-void fg_mesh_send_load_req(struct fg_gateway *gw, uint64_t owner,
-			   struct fg_fleet_ep *ep, const char *model,
-			   const char *adapter, uint64_t version);
+/* Opens the UDP socket; returns 0 or a libuv error. */
+int fg_gw_mesh_open(struct fg_gateway *gw);
+
+/* Fills the header of a packet and clears the rest. */
+void fg_gw_mesh_init_packet(struct fg_gateway *gw, fg_mesh_packet *packet,
+			    fg_mesh_kind kind);
+
+/* Send one datagram; a datagram that cannot be sent now is dropped. */
+void fg_gw_mesh_send(struct fg_gateway *gw, const char *address,
+		     const fg_mesh_packet *packet);
+void fg_gw_mesh_send_bytes(struct fg_gateway *gw, const char *address,
+			   const char *bytes, size_t len);
+
+/* Passes a crash that instance `by` reported to the suspects. */
+void fg_gw_mesh_apply_crash(struct fg_gateway *gw, uint64_t by,
+			    const fg_mesh_crash *crash, fg_ms now);
+
+/* Applies a crash seen here and reports it in the next heartbeats. */
+void fg_gw_mesh_report_crash(struct fg_gateway *gw, const fg_mesh_crash *crash);
+
+/* Sends the heartbeats and reports of use that are due. */
+void fg_gw_mesh_tick(struct fg_gateway *gw, fg_ms now);
+
+/* Sends a heartbeat to the instances of this region at once. */
+void fg_gw_mesh_send_heartbeat(struct fg_gateway *gw);
+
+/* Reports this instance's use of an adapter to the owner of `ep`. */
+void fg_gw_mesh_send_use(struct fg_gateway *gw, struct fg_fleet_ep *ep,
+			 struct fg_ep_adapter *a);
+
+/* Asks the owner of `ep` for the totals in flight there; the answer comes back
+ * with `local_id`. */
+void fg_gw_mesh_request_totals(struct fg_gateway *gw, struct fg_fleet_ep *ep,
+			       uint32_t local_id);
+
+/* Asks `owner` to load the adapter at `ep`. */
+void fg_gw_mesh_send_load_req(struct fg_gateway *gw, uint64_t owner,
+			      struct fg_fleet_ep *ep, const char *model,
+			      const char *adapter, uint64_t version);
 
 /* ---- Pages ---- */
 
+/* Answers a request on any port but the front: address lookup, readiness,
+ * metrics, state dump, rows for neighbours. */
 void fg_pages_answer(struct fg_caller *c);
+
+/* True while the instance takes requests of callers. */
 bool fg_gateway_ready(const struct fg_gateway *gw);
 
 /* ---- The instance ---- */
 
-/* A version of an adapter that operators announced. */
-struct fg_wanted_version {
+/* Newest version of an adapter that operators announced. */
+struct fg_announced_version {
 	uint64_t key;
 	uint64_t version;
-	fg_ms since;
+	fg_ms announced_at; /* when it was read here */
 };
 
 struct fg_gateway {
 	uv_loop_t loop;
 	struct fg_gwconf *conf;
 	char *conf_path;
-	char *conf_text;
+	char *conf_text; /* as last read */
 	const struct fg_wire_ops *wire;
 	struct fg_rand rand;
 	uint64_t incarnation;
-	fg_ms started;
+	fg_ms started_at;
 
 	struct fg_port ports[FG_PORT_COUNT];
-	GPtrArray *callers;
-	GPtrArray *reqs;
-	uint64_t requests;
+	GPtrArray *callers; /* struct fg_caller * */
+	GPtrArray *reqs;    /* struct fg_gwreq * */
+	uint64_t n_requests;
 
 	struct fg_feed feeds[FG_FEED_COUNT];
 	uint64_t reader; /* neighbour that reads the store for us; 0: none */
 	char reader_address[FG_PEER_TEXT_BYTES];
-	fg_ms follow_at; /* takes no rows from neighbours before */
-	struct fg_channel *tx;
-	bool announced_self;
-	struct fg_claim_write claiming[FG_CLAIM_BATCH_MAX];
+	fg_ms follow_after; /* the store is read here until then */
+	struct fg_channel *tx_channel;
+	bool own_row_written;
+	struct fg_claim_write claiming[FG_CLAIM_BATCH_MAX]; /* last claims */
 	uint32_t n_claiming;
-	fg_ms own_since; /* first time that the own table was known; 0: never */
-	bool claims_checked; /* ... and since the last pause of the process */
-	fg_ms tx_at;	     /* no transaction before */
-
-	struct fg_routes *routes; /* NULL before the first configuration */
-	fg_ms config_behind;	  /* another instance has read more; 0: none */
-	GHashTable *versions;	  /* key -> struct fg_wanted_version * */
+	fg_ms own_table_known_at; /* first complete read; 0: none */
+	bool claims_current; /* the own table was read since the process was
+				last paused; orders and claims require it */
+	fg_ms next_tx_at;    /* earliest time of the next transaction */
+
+	struct fg_routes *routes;  /* NULL before the first configuration */
+	fg_ms config_behind_since; /* another instance read more; 0: none */
+	GHashTable
+		*announced_versions; /* key -> struct fg_announced_version * */
 	struct fg_fleet *fleet;
 	struct fg_balance_conf balance;
 	struct fg_loadgate loadgate;
 	struct fg_claims *claims;
 	struct fg_peers *peers;
-	struct fg_heat_table *heat;
+	struct fg_heat_table *popularity; /* of adapters, in prompt tokens */
 	struct fg_suspects *suspects;
-	GHashTable *budgets; /* service name -> struct fg_retry * */
+	GHashTable *retry_budgets; /* service name -> struct fg_retry * */
 
 	uv_udp_t mesh;
 	uint32_t heartbeat_seq;
-	fg_ms near_heartbeat_at;
-	fg_ms far_heartbeat_at;
-	bool heartbeat_due;
-	GArray *crashes; /* struct fg_crash_notice */
+	fg_ms near_heartbeat_at; /* last one to this region */
+	fg_ms far_heartbeat_at;	 /* last one to other regions */
+	bool heartbeat_due;	 /* something changed since */
+	GArray *crashes;	 /* struct fg_crash_notice */
 
 	uv_timer_t tick;
 	uv_signal_t signals[3];
-	fg_ms ticked;
+	fg_ms last_tick_at;
 	bool stopping;
-	bool closing; /* no caller is left, or will be */
+	bool closing; /* no further request is taken */
 	fg_ms stopping_since;
-	fg_ms stop_at;	   /* exits at the latest */
-	fg_ms quiet_since; /* no request since, while stopping */
+	fg_ms stop_deadline;
+	fg_ms quiet_since; /* while stopping: no request since then */
 
 	struct fg_metrics *metrics;
 	struct fg_hist *hist_first;
@@ -483,22 +563,25 @@
 	struct fg_hist *hist_load;
 };
 
-/* Counts one event: fg_gw_NAME_total{LABELS}. */
-void fg_gw_count(struct fg_gateway *gw, const char *name, const char *labels);
+/* Adds one to the counter fg_gw_NAME_total{LABELS}. */
+void fg_gw_count_event(struct fg_gateway *gw, const char *name,
+		       const char *labels);
 
-/* Newest announced version of an adapter; 0 when none was. *age_ms tells how
- * long ago it was read. */
-uint64_t fg_gw_version(const struct fg_gateway *gw, uint64_t key, fg_ms now,
-		       fg_ms *age_ms);
+/* Newest announced version of an adapter, 0 when there is none. *age_ms is the
+ * time since it was read. */
+uint64_t fg_gw_announced_version(const struct fg_gateway *gw, uint64_t key,
+				 fg_ms now, fg_ms *age_ms);
 
-/* Counts `tokens` of a request for the adapter; returns the tokens a second
- * that all instances get for it. */
-double fg_gw_heat(struct fg_gateway *gw, fg_ms now, uint64_t adapter,
-		  uint32_t tokens);
+/* Adds `tokens` of a request for the adapter (0: none); returns the estimated
+ * prompt tokens a second that all instances together get for it. */
+double fg_gw_update_token_rate(struct fg_gateway *gw, fg_ms now,
+			       uint64_t adapter, uint32_t tokens);
 
-struct fg_retry *fg_gw_budget(struct fg_gateway *gw, const char *service);
+/* Retry budget of a service, created when missing. */
+struct fg_retry *fg_gw_retry_budget(struct fg_gateway *gw, const char *service);
 
-/* Closes and frees a timer made by fg_gw_timer_new(). */
+/* Creates a timer whose data is `data`; fg_gw_timer_free() closes and frees it
+ * (NULL is allowed). */
 uv_timer_t *fg_gw_timer_new(struct fg_gateway *gw, void *data);
 void fg_gw_timer_free(uv_timer_t *timer);
 
--- a/lib/gateway/fg_gw_caller.c
+++ b/lib/gateway/fg_gw_caller.c
@@ -1,18 +1,18 @@
-/* Connections of callers: reading requests, answering, time limits. */
+/* Connections of callers: reading requests, sending answers, time limits. */
 #include "gateway/fg_gateway_internal.h"
 
 #include <string.h>
 
-/* Limits before the first configuration is known. */
+/* Limits while no configuration is known. */
 #define HEAD_MAX_BYTES 16384
 #define BODY_MAX_BYTES (4 * 1024 * 1024)
 #define HEAD_TIMEOUT_MS 3000
 #define IDLE_TIMEOUT_MS 15000
-/* Bytes kept of requests that a caller sends before the one in progress is
- * answered; reading stops beyond. */
-#define UNREAD_MAX_BYTES 65536
+/* Reading pauses when a caller has sent more than this beyond the request in
+ * progress. */
+#define PIPELINED_MAX_BYTES 65536
 
-static const char *status_text(unsigned int status)
+static const char *http_reason(unsigned int status)
 {
 	return http_status_str((enum http_status)status);
 }
@@ -22,14 +22,14 @@
 	struct fg_caller *c = p;
 
 	fg_h1_clear(&c->h1);
-	g_byte_array_unref(c->unread);
+	g_byte_array_unref(c->pipelined);
 	g_byte_array_unref(c->body);
 	g_free(c);
 }
 
-/* The record is freed by the next sweep: callbacks further up the stack may
- * still look at it. */
-static void let_go(struct fg_caller *c)
+/* The next sweep frees the record, since callers of this function may still
+ * read it. */
+static void mark_closed(struct fg_caller *c)
 {
 	struct fg_gwreq *r = c->req;
 
@@ -44,7 +44,7 @@
 	if (c->link == NULL)
 		return;
 	fg_link_close(c->link, flush);
-	let_go(c);
+	mark_closed(c);
 }
 
 void fg_caller_abort(struct fg_caller *c)
@@ -52,7 +52,7 @@
 	if (c->link == NULL)
 		return;
 	fg_link_abort(c->link);
-	let_go(c);
+	mark_closed(c);
 }
 
 void fg_caller_answer(struct fg_caller *c, unsigned int status,
@@ -63,11 +63,11 @@
 
 	if (c->link == NULL)
 		return;
-	if (c->gw->stopping || c->bad || !c->h1.head.keep_alive)
-		c->last = true;
+	if (c->gw->stopping || c->malformed || !c->h1.head.keep_alive)
+		c->close_after = true;
 	out = g_string_sized_new(256 + len_bytes);
 	g_string_append_printf(out, "HTTP/1.1 %u %s\r\n", status,
-			       status_text(status));
+			       http_reason(status));
 	c->gw->wire->refusal_write(out, request_id);
 	if (retry_ms > 0)
 		g_string_append_printf(out, "Retry-After: %u.%03u\r\n",
@@ -75,7 +75,7 @@
 				       retry_ms % FG_MS_PER_S);
 	if (type != NULL)
 		g_string_append_printf(out, "Content-Type: %s\r\n", type);
-	if (c->last)
+	if (c->close_after)
 		g_string_append(out, "Connection: close\r\n");
 	g_string_append_printf(out, "Content-Length: %zu\r\n\r\n", len_bytes);
 	if (c->h1.head.method != HTTP_HEAD)
@@ -86,9 +86,10 @@
 
 /* ---- Reading ---- */
 
-static void read_unread(struct fg_caller *c);
+static void feed_pipelined(struct fg_caller *c);
 
-static const struct fg_caller_limits *limits_of(const struct fg_gateway *gw)
+static const struct fg_caller_limits *
+current_limits(const struct fg_gateway *gw)
 {
 	static const struct fg_caller_limits fallback = {
 		.head_max_bytes = HEAD_MAX_BYTES,
@@ -102,7 +103,7 @@
 
 static void apply_limits(struct fg_caller *c)
 {
-	const struct fg_caller_limits *l = limits_of(c->gw);
+	const struct fg_caller_limits *l = current_limits(c->gw);
 
 	c->h1.head_max_bytes =
 		l->head_max_bytes == 0 ? HEAD_MAX_BYTES : l->head_max_bytes;
@@ -112,12 +113,13 @@
 
 static bool on_head(void *ctx, const struct fg_h1_head *head)
 {
-	static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+	static const char continue_head[] = "HTTP/1.1 100 Continue\r\n\r\n";
 	struct fg_caller *c = ctx;
 	const char *expect = fg_h1_get(head, "Expect");
 
 	if (expect != NULL && g_ascii_strcasecmp(expect, "100-continue") == 0)
-		fg_link_write(c->link, go_on, sizeof(go_on) - 1);
+		fg_link_write(c->link, continue_head,
+			      sizeof(continue_head) - 1);
 	return true;
 }
 
@@ -144,7 +146,7 @@
 	.on_end = on_request,
 };
 
-static void refuse_fault(struct fg_caller *c)
+static void refuse_faulty_request(struct fg_caller *c)
 {
 	unsigned int status = HTTP_STATUS_BAD_REQUEST;
 	const char *reason = "malformed";
@@ -156,33 +158,33 @@
 		status = HTTP_STATUS_PAYLOAD_TOO_LARGE;
 		reason = "body_too_large";
 	}
-	c->bad = true;
+	c->malformed = true;
 	fg_log(FG_LOG_WARN, "caller", "bad_request", "reason", reason, NULL);
-	fg_gw_count(c->gw, "bad_requests", NULL);
+	fg_gw_count_event(c->gw, "bad_requests", NULL);
 	fg_caller_answer(c, status, NULL, 0, NULL, "", 0);
 	fg_caller_close(c, true);
 }
 
-/* Feeds the parser; keeps what lies behind a whole request. */
-static void feed(struct fg_caller *c, const char *data, size_t len)
+/* Feeds the parser; keeps bytes that follow a complete request. */
+static void feed_parser(struct fg_caller *c, const char *data, size_t len)
 {
 	size_t used;
 
 	if (!c->h1.begun) {
-		c->since = fg_clock_now();
+		c->wait_since = fg_clock_now();
 		apply_limits(c);
 	} else if (c->body->len > 0) {
-		c->since = fg_clock_now(); /* the body makes progress */
+		c->wait_since = fg_clock_now(); /* the body is arriving */
 	}
 	used = fg_h1_feed(&c->h1, data, len);
 	if (c->link == NULL)
 		return;
 	if (c->h1.fault != FG_H1_OK) {
-		refuse_fault(c);
+		refuse_faulty_request(c);
 		return;
 	}
 	if (used < len)
-		g_byte_array_append(c->unread, (const guint8 *)data + used,
+		g_byte_array_append(c->pipelined, (const guint8 *)data + used,
 				    (guint)(len - used));
 }
 
@@ -190,28 +192,28 @@
 {
 	struct fg_caller *c = ctx;
 
-	if (c->last && c->req == NULL)
+	if (c->close_after && c->req == NULL)
 		return; /* the last answer is being sent */
-	if (c->req == NULL && c->unread->len == 0) {
-		feed(c, data, len);
+	if (c->req == NULL && c->pipelined->len == 0) {
+		feed_parser(c, data, len);
 		if (c->link != NULL && c->req == NULL)
-			read_unread(c);
+			feed_pipelined(c);
 		return;
 	}
-	g_byte_array_append(c->unread, (const guint8 *)data, (guint)len);
-	if (c->unread->len > UNREAD_MAX_BYTES)
+	g_byte_array_append(c->pipelined, (const guint8 *)data, (guint)len);
+	if (c->pipelined->len > PIPELINED_MAX_BYTES)
 		fg_link_pause(c->link);
 }
 
-/* Goes on with requests that arrived behind the one just answered. */
-static void read_unread(struct fg_caller *c)
+/* Reads pipelined requests, after the one before them was answered. */
+static void feed_pipelined(struct fg_caller *c)
 {
-	while (c->link != NULL && c->req == NULL && c->unread->len > 0 &&
-	       !c->h1.ended && !c->last) {
-		GByteArray *bytes = c->unread;
+	while (c->link != NULL && c->req == NULL && c->pipelined->len > 0 &&
+	       !c->h1.ended && !c->close_after) {
+		GByteArray *bytes = c->pipelined;
 
-		c->unread = g_byte_array_new();
-		feed(c, (const char *)bytes->data, bytes->len);
+		c->pipelined = g_byte_array_new();
+		feed_parser(c, (const char *)bytes->data, bytes->len);
 		g_byte_array_unref(bytes);
 	}
 }
@@ -226,8 +228,9 @@
 {
 	struct fg_caller *c = ctx;
 
-	if (c->req != NULL && c->req->up != NULL && c->req->up->link != NULL)
-		fg_link_resume(c->req->up->link);
+	if (c->req != NULL && c->req->conn != NULL &&
+	    c->req->conn->link != NULL)
+		fg_link_resume(c->req->conn->link);
 }
 
 static const struct fg_link_ops link_ops = {
@@ -236,20 +239,20 @@
 	.on_drained = on_drained,
 };
 
-void fg_caller_done(struct fg_caller *c)
+void fg_caller_finish_answer(struct fg_caller *c)
 {
 	c->req = NULL;
 	if (c->link == NULL)
 		return;
-	if (c->last) {
+	if (c->close_after) {
 		fg_caller_close(c, true);
 		return;
 	}
 	fg_h1_next(&c->h1);
 	g_byte_array_set_size(c->body, 0);
-	c->since = fg_clock_now();
+	c->wait_since = fg_clock_now();
 	fg_link_resume(c->link);
-	read_unread(c);
+	feed_pipelined(c);
 }
 
 void fg_caller_accept(uv_stream_t *listener, int status)
@@ -276,9 +279,9 @@
 	c->gw = gw;
 	c->kind = port->kind;
 	c->link = link;
-	c->unread = g_byte_array_new();
+	c->pipelined = g_byte_array_new();
 	c->body = g_byte_array_new();
-	c->since = fg_clock_now();
+	c->wait_since = fg_clock_now();
 	fg_link_set_ctx(link, c);
 	fg_h1_init(&c->h1, true, &h1_ops, c, HEAD_MAX_BYTES, BODY_MAX_BYTES);
 	g_ptr_array_add(gw->callers, c);
@@ -286,16 +289,16 @@
 
 /* ---- Time limits ---- */
 
-static void check_limits(struct fg_caller *c, fg_ms now)
+static void check_time_limits(struct fg_caller *c, fg_ms now)
 {
-	const struct fg_caller_limits *l = limits_of(c->gw);
-	fg_ms waited_ms = now - c->since;
+	const struct fg_caller_limits *l = current_limits(c->gw);
+	fg_ms waited_ms = now - c->wait_since;
 
 	if (c->req != NULL || c->h1.ended)
 		return;
 	if (c->h1.begun && l->head_timeout_ms > 0 &&
 	    waited_ms > (fg_ms)l->head_timeout_ms) {
-		c->bad = true;
+		c->malformed = true;
 		fg_log(FG_LOG_INFO, "caller", "request_timed_out", NULL);
 		fg_caller_answer(c, HTTP_STATUS_REQUEST_TIMEOUT, NULL, 0, NULL,
 				 "", 0);
@@ -312,7 +315,7 @@
 		struct fg_caller *c = gw->callers->pdata[i - 1];
 
 		if (c->link != NULL)
-			check_limits(c, now);
+			check_time_limits(c, now);
 		if (c->link == NULL) {
 			g_ptr_array_remove_index_fast(gw->callers, i - 1);
 			caller_free(c);
--- a/lib/gateway/fg_gw_hear.c
+++ b/lib/gateway/fg_gw_hear.c
@@ -1,11 +1,12 @@
-/* What other instances sent: heartbeats, questions, reports. */
+/* Messages from other instances: heartbeats, requests, reports. */
 #include "gateway/fg_gateway_internal.h"
 
 #include <string.h>
 
-/* Passes a heartbeat of another region on to those of this data centre that
- * the sender left out. */
-static void pass_on(struct fg_gateway *gw, const char *bytes, size_t len)
+/* Forwards a heartbeat of another region to the neighbours that do not read the
+ * store, to which the sender does not send it. */
+static void forward_heartbeat(struct fg_gateway *gw, const char *bytes,
+			      size_t len)
 {
 	const GPtrArray *peers = fg_peers_all(gw->peers);
 
@@ -13,12 +14,12 @@
 		const struct fg_mesh_peer *p = peers->pdata[i];
 
 		if (!p->store.reads && strcmp(p->row.dc, gw->conf->dc) == 0)
-			fg_mesh_send_bytes(gw, p->row.mesh, bytes, len);
+			fg_gw_mesh_send_bytes(gw, p->row.mesh, bytes, len);
 	}
 }
 
-static void take_uses(struct fg_gateway *gw, const fg_mesh_packet *packet,
-		      fg_ms now)
+static void apply_uses(struct fg_gateway *gw, const fg_mesh_packet *packet,
+		       fg_ms now)
 {
 	const fg_mesh_uses *uses = &packet->body.fg_mesh_body_u.uses;
 
@@ -34,21 +35,22 @@
 		};
 
 		if (ep != NULL)
-			fg_orders_take_use(gw, ep, &use);
+			fg_orders_apply_use(gw, ep, &use);
 	}
 }
 
-/* Totals that an owner tells include what this instance reported to it. */
-static void take_totals(struct fg_fleet_ep *ep, uint32_t running,
-			uint32_t pending_tokens)
+/* Subtracts what this instance has in flight from the totals that an owner
+ * reports, since they include it. */
+static void apply_totals(struct fg_fleet_ep *ep, uint32_t running,
+			 uint32_t pending_tokens)
 {
 	ep->peers_running = running - MIN(running, ep->running);
 	ep->peers_pending_tokens =
 		pending_tokens - MIN(pending_tokens, ep->pending_tokens);
 }
 
-static void take_own(struct fg_gateway *gw, uint64_t sender,
-		     const fg_mesh_own *own, fg_ms now)
+static void apply_owned_engine(struct fg_gateway *gw, uint64_t sender,
+			       const fg_mesh_own *own, fg_ms now)
 {
 	struct fg_fleet_ep *ep = fg_fleet_find_hash(gw->fleet, own->ep);
 	struct fg_fleet_held held[FG_MESH_HELD_MAX];
@@ -75,12 +77,13 @@
 	ep->spare_age_ms = own->spare_age_ms;
 	ep->queue = own->queue;
 	ep->fetch_wait_ms = own->fetch_wait_ms;
-	take_totals(ep, own->running, own->pending_tokens);
-	fg_gwreq_resident(gw, ep);
+	apply_totals(ep, own->running, own->pending_tokens);
+	fg_gwreq_on_resident(gw, ep);
 }
 
-static void take_totals_ask(struct fg_gateway *gw, const fg_mesh_packet *packet,
-			    const char *from)
+static void answer_totals_request(struct fg_gateway *gw,
+				  const fg_mesh_packet *packet,
+				  const char *from)
 {
 	const fg_mesh_totals_ask *ask = &packet->body.fg_mesh_body_u.totals_ask;
 	const struct fg_fleet_ep *ep = fg_fleet_find_hash(gw->fleet, ask->ep);
@@ -89,27 +92,27 @@
 
 	if (ep == NULL)
 		return;
-	fg_mesh_init_packet(gw, &reply, FG_MESH_TOTALS);
+	fg_gw_mesh_init_packet(gw, &reply, FG_MESH_TOTALS);
 	totals->request = ask->request;
 	totals->ep = ask->ep;
 	totals->running = ep->running + ep->peers_running;
 	totals->pending_tokens = ep->pending_tokens + ep->peers_pending_tokens;
-	fg_mesh_send(gw, from, &reply);
+	fg_gw_mesh_send(gw, from, &reply);
 }
 
-static void take_totals_reply(struct fg_gateway *gw,
-			      const fg_mesh_packet *packet)
+static void apply_totals_reply(struct fg_gateway *gw,
+			       const fg_mesh_packet *packet)
 {
 	const fg_mesh_totals *totals = &packet->body.fg_mesh_body_u.totals;
 	struct fg_fleet_ep *ep = fg_fleet_find_hash(gw->fleet, totals->ep);
 
 	if (ep != NULL && ep->owner == packet->incarnation)
-		take_totals(ep, totals->running, totals->pending_tokens);
-	fg_gwreq_totals(gw, totals->request);
+		apply_totals(ep, totals->running, totals->pending_tokens);
+	fg_gwreq_on_totals(gw, totals->request);
 }
 
-void fg_mesh_take_crash(struct fg_gateway *gw, uint64_t by,
-			const fg_mesh_crash *crash, fg_ms now)
+void fg_gw_mesh_apply_crash(struct fg_gateway *gw, uint64_t by,
+			    const fg_mesh_crash *crash, fg_ms now)
 {
 	fg_suspect ev = {
 		.fingerprint = crash->fingerprint,
@@ -121,8 +124,8 @@
 	fg_suspects_handle_event(gw->suspects, now, by, &ev);
 }
 
-static void take_heartbeat(struct fg_gateway *gw, const fg_mesh_packet *packet,
-			   const uv_buf_t *bytes, fg_ms now)
+static void apply_heartbeat(struct fg_gateway *gw, const fg_mesh_packet *packet,
+			    const uv_buf_t *bytes, fg_ms now)
 {
 	const fg_mesh_heartbeat *hb = &packet->body.fg_mesh_body_u.hb;
 	struct fg_mesh_peer *peer =
@@ -130,39 +133,41 @@
 
 	if (peer == NULL)
 		return;
-	/* Once only: two that read would send it to each other for ever. */
+	/* Only a newer heartbeat is forwarded: two instances that both read the
+	 * store would forward it to each other forever. */
 	if (!peer->near && gw->reader == 0 &&
 	    (int32_t)(packet->seq - peer->seq) > 0)
-		pass_on(gw, bytes->base, bytes->len);
+		forward_heartbeat(gw, bytes->base, bytes->len);
 	fg_peers_heartbeat(gw->peers, now, packet->incarnation, packet->seq,
 			   hb);
-	fg_relay_heard(gw, peer, now);
+	fg_gw_relay_on_heartbeat(gw, peer, now);
 	if (hb->store.feeds[FG_FEED_CONFIG].newest >
-	    gw->feeds[FG_FEED_CONFIG].newest)
-		fg_sync_config_behind(gw, now);
+	    gw->feeds[FG_FEED_CONFIG].newest_version)
+		fg_sync_on_config_behind(gw, now);
 	for (u_int i = 0; i < hb->owns.owns_len; i++)
-		take_own(gw, packet->incarnation, &hb->owns.owns_val[i], now);
+		apply_owned_engine(gw, packet->incarnation,
+				   &hb->owns.owns_val[i], now);
 	for (u_int i = 0; i < hb->crashes.crashes_len; i++)
-		fg_mesh_take_crash(gw, packet->incarnation,
-				   &hb->crashes.crashes_val[i], now);
+		fg_gw_mesh_apply_crash(gw, packet->incarnation,
+				       &hb->crashes.crashes_val[i], now);
 }
 
-static void take_load_req(struct fg_gateway *gw, const fg_mesh_packet *packet,
-			  const char *from)
+static void answer_load_request(struct fg_gateway *gw,
+				const fg_mesh_packet *packet, const char *from)
 {
 	const fg_mesh_load_req *req = &packet->body.fg_mesh_body_u.load_req;
 	struct fg_fleet_ep *ep = fg_fleet_find_hash(gw->fleet, req->ep);
-	struct fg_ep_user *u = ep == NULL ? NULL : ep->user;
+	struct fg_ep_local *local = ep == NULL ? NULL : ep->user;
 	fg_mesh_packet reply;
 	fg_mesh_load_rep *rep = &reply.body.fg_mesh_body_u.load_rep;
 
-	fg_mesh_init_packet(gw, &reply, FG_MESH_LOAD_REP);
+	fg_gw_mesh_init_packet(gw, &reply, FG_MESH_LOAD_REP);
 	rep->ep = req->ep;
 	rep->adapter = fg_adapter_key(req->model, req->adapter);
 	rep->answer = FG_MESH_NOT_OWNER;
-	if (u != NULL && u->slots != NULL) {
-		switch (fg_orders_want(gw, ep, req->model, req->adapter,
-				       req->ver)) {
+	if (local != NULL && local->slots != NULL) {
+		switch (fg_orders_request_load(gw, ep, req->model, req->adapter,
+					       req->ver)) {
 		case FG_SLOT_RESIDENT:
 			rep->answer = FG_MESH_RESIDENT;
 			break;
@@ -173,11 +178,11 @@
 			rep->answer = FG_MESH_FULL;
 		}
 	}
-	fg_mesh_send(gw, from, &reply);
+	fg_gw_mesh_send(gw, from, &reply);
 }
 
-static void take_load_rep(struct fg_gateway *gw, const fg_mesh_packet *packet,
-			  fg_ms now)
+static void apply_load_reply(struct fg_gateway *gw,
+			     const fg_mesh_packet *packet, fg_ms now)
 {
 	const fg_mesh_load_rep *rep = &packet->body.fg_mesh_body_u.load_rep;
 	struct fg_fleet_ep *ep = fg_fleet_find_hash(gw->fleet, rep->ep);
@@ -191,9 +196,9 @@
 			return;
 		a->version = MAX(a->version, 1);
 		a->resident_at = now;
-		fg_gwreq_resident(gw, ep);
+		fg_gwreq_on_resident(gw, ep);
 	} else if (rep->answer != FG_MESH_COMING) {
-		fg_gwreq_no_load(gw, ep, rep->adapter);
+		fg_gwreq_on_load_refused(gw, ep, rep->adapter);
 	}
 }
 
@@ -219,7 +224,7 @@
 	if (n <= 0 || from == NULL || (flags & UV_UDP_PARTIAL) != 0)
 		return;
 	if (!fg_mesh_decode(buf->base, (size_t)n, &packet)) {
-		fg_gw_count(gw, "mesh_refused", NULL);
+		fg_gw_count_event(gw, "mesh_refused", NULL);
 		return;
 	}
 	uv_ip4_name((const struct sockaddr_in *)from, ip, sizeof(ip));
@@ -227,28 +232,28 @@
 		   ntohs(((const struct sockaddr_in *)from)->sin_port));
 	switch (packet.body.kind) {
 	case FG_MESH_HEARTBEAT:
-		take_heartbeat(gw, &packet, &bytes, fg_clock_now());
+		apply_heartbeat(gw, &packet, &bytes, fg_clock_now());
 		break;
 	case FG_MESH_LOAD_REQ:
-		take_load_req(gw, &packet, address);
+		answer_load_request(gw, &packet, address);
 		break;
 	case FG_MESH_LOAD_REP:
-		take_load_rep(gw, &packet, fg_clock_now());
+		apply_load_reply(gw, &packet, fg_clock_now());
 		break;
 	case FG_MESH_USES:
-		take_uses(gw, &packet, fg_clock_now());
+		apply_uses(gw, &packet, fg_clock_now());
 		break;
 	case FG_MESH_TOTALS_ASK:
-		take_totals_ask(gw, &packet, address);
+		answer_totals_request(gw, &packet, address);
 		break;
 	case FG_MESH_TOTALS:
-		take_totals_reply(gw, &packet);
+		apply_totals_reply(gw, &packet);
 		break;
 	}
 	fg_mesh_clear(&packet);
 }
 
-int fg_mesh_open(struct fg_gateway *gw)
+int fg_gw_mesh_open(struct fg_gateway *gw)
 {
 	struct sockaddr_in at;
 	int rc;
--- a/lib/gateway/fg_gw_mesh.c
+++ b/lib/gateway/fg_gw_mesh.c
@@ -1,40 +1,40 @@
-/* What this instance sends to others: heartbeats, questions, reports. */
+/* Messages to other instances: heartbeats, requests, reports. */
 #include "gateway/fg_gateway_internal.h"
 
 #include <string.h>
 
-/* Heartbeats inside a region: soon after something changed, at the latest each
- * NEAR_MAX_MS. With many neighbours the least interval grows, so that
- * heartbeats stay a small part of an instance's processor time. */
+/* Heartbeats inside a region are sent soon after a change, and at least every
+ * NEAR_MAX_MS. The minimum intervals grow with the number of peers, so that
+ * heartbeats take a small part of an instance's CPU time. */
 #define NEAR_MIN_MS 100
 #define NEAR_MS_PER_PEER 8
 #define NEAR_MAX_MS 250
 #define FAR_MIN_MS 400
 #define FAR_MS_PER_PEER 16
-/* Entries of one datagram, so that it fits FG_MESH_PACKET_BYTES. */
-#define OWNS_MAX 4
+/* List entries of one datagram, chosen to fit FG_MESH_PACKET_BYTES. */
+#define OWNED_MAX 4
 #define HELD_MAX 12
 #define CRASHES_MAX 16
 #define USES_MAX 40
-/* A crash is reported in this many heartbeats, since each may be lost. */
+/* Number of heartbeats that carry a crash, since each may be lost. */
 #define CRASH_REPEATS 3
 
 /* ---- Sending ---- */
 
-void fg_mesh_send_bytes(struct fg_gateway *gw, const char *address,
-			const char *bytes, size_t len)
+void fg_gw_mesh_send_bytes(struct fg_gateway *gw, const char *address,
+			   const char *bytes, size_t len)
 {
 	struct sockaddr_in to;
 	uv_buf_t out = uv_buf_init((char *)bytes, (unsigned int)len);
 
 	if (!fg_link_parse(address, &to))
 		return;
-	/* A datagram that cannot be sent now counts as lost. */
+	/* A datagram that cannot be sent now is dropped. */
 	(void)uv_udp_try_send(&gw->mesh, &out, 1, (struct sockaddr *)&to);
 }
 
-void fg_mesh_send(struct fg_gateway *gw, const char *address,
-		  const fg_mesh_packet *packet)
+void fg_gw_mesh_send(struct fg_gateway *gw, const char *address,
+		     const fg_mesh_packet *packet)
 {
 	char buf[FG_MESH_PACKET_BYTES];
 	size_t len;
@@ -43,10 +43,10 @@
 		fg_log(FG_LOG_ERROR, "mesh", "packet_too_large", NULL);
 		return;
 	}
-	fg_mesh_send_bytes(gw, address, buf, len);
+	fg_gw_mesh_send_bytes(gw, address, buf, len);
 }
 
-static fg_mesh_state state_of(const struct fg_gateway *gw)
+static fg_mesh_state heartbeat_state(const struct fg_gateway *gw)
 {
 	if (gw->stopping)
 		return FG_MESH_LEAVING;
@@ -54,12 +54,12 @@
 }
 
 struct heartbeat_lists {
-	fg_mesh_own owns[OWNS_MAX];
-	fg_mesh_held held[OWNS_MAX][HELD_MAX];
+	fg_mesh_own owns[OWNED_MAX];
+	fg_mesh_held held[OWNED_MAX][HELD_MAX];
 	fg_mesh_crash crashes[CRASHES_MAX];
 };
 
-static uint32_t put_crashes(struct fg_gateway *gw, struct heartbeat_lists *b)
+static uint32_t fill_crashes(struct fg_gateway *gw, struct heartbeat_lists *b)
 {
 	uint32_t n = 0;
 
@@ -70,8 +70,8 @@
 	return n;
 }
 
-static void put_own(const struct fg_fleet_ep *ep, fg_mesh_own *own,
-		    fg_mesh_held *held)
+static void fill_owned_engine(const struct fg_fleet_ep *ep, fg_mesh_own *own,
+			      fg_mesh_held *held)
 {
 	uint32_t n = 0;
 
@@ -93,20 +93,21 @@
 	own->held.held_val = held;
 }
 
-/* Engines ordered here from *at on; returns how many were put. */
-static uint32_t put_owns(const struct fg_gateway *gw, struct heartbeat_lists *b,
-			 guint *at)
+/* Fills in up to OWNED_MAX engines ordered here, beginning at index *at of the
+ * fleet, and advances *at. Returns how many were filled in. */
+static uint32_t fill_owned_engines(const struct fg_gateway *gw,
+				   struct heartbeat_lists *b, guint *at)
 {
 	const GPtrArray *all = fg_fleet_all(gw->fleet);
 	uint32_t n = 0;
 
-	for (; *at < all->len && n < OWNS_MAX; (*at)++) {
+	for (; *at < all->len && n < OWNED_MAX; (*at)++) {
 		const struct fg_fleet_ep *ep = all->pdata[*at];
-		const struct fg_ep_user *u = ep->user;
+		const struct fg_ep_local *local = ep->user;
 
-		if (u == NULL || u->slots == NULL)
+		if (local == NULL || local->slots == NULL)
 			continue;
-		put_own(ep, &b->owns[n], b->held[n]);
+		fill_owned_engine(ep, &b->owns[n], b->held[n]);
 		n++;
 	}
 	return n;
@@ -123,12 +124,12 @@
 
 		if (p->near == near &&
 		    (near || fg_peers_far_target(gw->peers, now, p)))
-			fg_mesh_send(gw, p->row.mesh, packet);
+			fg_gw_mesh_send(gw, p->row.mesh, packet);
 	}
 }
 
-void fg_mesh_init_packet(struct fg_gateway *gw, fg_mesh_packet *packet,
-			 fg_mesh_kind kind)
+void fg_gw_mesh_init_packet(struct fg_gateway *gw, fg_mesh_packet *packet,
+			    fg_mesh_kind kind)
 {
 	memset(packet, 0, sizeof(*packet));
 	packet->format = FG_MESH_FORMAT;
@@ -136,7 +137,7 @@
 	packet->body.kind = kind;
 }
 
-/* Sends one hb, in several datagrams when it has many parts. */
+/* Sends one heartbeat, in several datagrams when it lists many engines. */
 static void send_heartbeat(struct fg_gateway *gw, bool near)
 {
 	struct heartbeat_lists b;
@@ -144,22 +145,22 @@
 	fg_mesh_heartbeat *hb = &packet.body.fg_mesh_body_u.hb;
 	guint at = 0;
 
-	fg_mesh_init_packet(gw, &packet, FG_MESH_HEARTBEAT);
-	hb->state = state_of(gw);
-	fg_relay_status(gw, fg_clock_now(), &hb->store);
+	fg_gw_mesh_init_packet(gw, &packet, FG_MESH_HEARTBEAT);
+	hb->state = heartbeat_state(gw);
+	fg_gw_relay_fill_status(gw, fg_clock_now(), &hb->store);
 	hb->owns.owns_val = b.owns;
 	hb->crashes.crashes_val = b.crashes;
-	hb->crashes.crashes_len = put_crashes(gw, &b);
+	hb->crashes.crashes_len = fill_crashes(gw, &b);
 	do {
 		packet.seq = ++gw->heartbeat_seq;
-		hb->owns.owns_len = put_owns(gw, &b, &at);
+		hb->owns.owns_len = fill_owned_engines(gw, &b, &at);
 		send_to_peers(gw, &packet, near);
 		hb->crashes.crashes_len = 0;
-	} while (hb->owns.owns_len == OWNS_MAX);
+	} while (hb->owns.owns_len == OWNED_MAX);
 }
 
-static void put_use(fg_mesh_use *use, const struct fg_fleet_ep *ep,
-		    const struct fg_ep_adapter *a)
+static void fill_use(fg_mesh_use *use, const struct fg_fleet_ep *ep,
+		     const struct fg_ep_adapter *a)
 {
 	use->ep = ep->hash;
 	use->adapter = a->key;
@@ -167,8 +168,8 @@
 	use->pending_tokens = a->pending_tokens;
 }
 
-void fg_mesh_send_use(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-		      struct fg_ep_adapter *a)
+void fg_gw_mesh_send_use(struct fg_gateway *gw, struct fg_fleet_ep *ep,
+			 struct fg_ep_adapter *a)
 {
 	const struct fg_mesh_peer *peer = fg_peers_find(gw->peers, ep->owner);
 	fg_mesh_packet packet;
@@ -177,15 +178,15 @@
 	if (peer == NULL)
 		return;
 	a->notified_at = fg_clock_now();
-	put_use(&use, ep, a);
-	fg_mesh_init_packet(gw, &packet, FG_MESH_USES);
+	fill_use(&use, ep, a);
+	fg_gw_mesh_init_packet(gw, &packet, FG_MESH_USES);
 	packet.body.fg_mesh_body_u.uses.list.list_len = 1;
 	packet.body.fg_mesh_body_u.uses.list.list_val = &use;
-	fg_mesh_send(gw, peer->row.mesh, &packet);
+	fg_gw_mesh_send(gw, peer->row.mesh, &packet);
 }
 
-/* Repeats to one owner the requests in flight at its engines. */
-static void repeat_uses(struct fg_gateway *gw, const struct fg_mesh_peer *peer,
+/* Reports to one owner again what is in flight at its engines. */
+static void resend_uses(struct fg_gateway *gw, const struct fg_mesh_peer *peer,
 			fg_ms now)
 {
 	const GPtrArray *all = fg_fleet_all(gw->fleet);
@@ -205,65 +206,65 @@
 			    now - a->notified_at < FG_USES_REPEAT_MS)
 				continue;
 			a->notified_at = now;
-			put_use(&list[n++], ep, a);
+			fill_use(&list[n++], ep, a);
 		}
 	}
 	if (n == 0)
 		return;
-	fg_mesh_init_packet(gw, &packet, FG_MESH_USES);
+	fg_gw_mesh_init_packet(gw, &packet, FG_MESH_USES);
 	packet.body.fg_mesh_body_u.uses.list.list_len = n;
 	packet.body.fg_mesh_body_u.uses.list.list_val = list;
-	fg_mesh_send(gw, peer->row.mesh, &packet);
+	fg_gw_mesh_send(gw, peer->row.mesh, &packet);
 }
 
-static void repeat_all_uses(struct fg_gateway *gw, fg_ms now)
+static void resend_all_uses(struct fg_gateway *gw, fg_ms now)
 {
 	const GPtrArray *peers = fg_peers_all(gw->peers);
 
 	for (guint i = 0; i < peers->len; i++)
-		repeat_uses(gw, peers->pdata[i], now);
+		resend_uses(gw, peers->pdata[i], now);
 }
 
-static void age_crashes(struct fg_gateway *gw)
+static void expire_crashes(struct fg_gateway *gw)
 {
 	for (guint i = gw->crashes->len; i > 0; i--) {
-		struct fg_crash_notice *t = &g_array_index(
+		struct fg_crash_notice *notice = &g_array_index(
 			gw->crashes, struct fg_crash_notice, i - 1);
 
-		if (--t->left == 0)
+		if (--notice->left == 0)
 			g_array_remove_index_fast(gw->crashes, i - 1);
 	}
 }
 
-static void near_heartbeat(struct fg_gateway *gw, fg_ms now)
+static void send_near_heartbeat(struct fg_gateway *gw, fg_ms now)
 {
 	send_heartbeat(gw, true);
 	gw->near_heartbeat_at = now;
 	gw->heartbeat_due = false;
 }
 
-void fg_mesh_heartbeat_now(struct fg_gateway *gw)
+void fg_gw_mesh_send_heartbeat(struct fg_gateway *gw)
 {
-	near_heartbeat(gw, fg_clock_now());
+	send_near_heartbeat(gw, fg_clock_now());
 }
 
-void fg_mesh_ask_totals(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-			uint32_t number)
+void fg_gw_mesh_request_totals(struct fg_gateway *gw, struct fg_fleet_ep *ep,
+			       uint32_t local_id)
 {
 	const struct fg_mesh_peer *peer = fg_peers_find(gw->peers, ep->owner);
 	fg_mesh_packet packet;
 
 	if (peer == NULL)
 		return;
-	fg_mesh_init_packet(gw, &packet, FG_MESH_TOTALS_ASK);
-	packet.body.fg_mesh_body_u.totals_ask.request = number;
+	fg_gw_mesh_init_packet(gw, &packet, FG_MESH_TOTALS_ASK);
+	packet.body.fg_mesh_body_u.totals_ask.request = local_id;
 	packet.body.fg_mesh_body_u.totals_ask.ep = ep->hash;
-	fg_mesh_send(gw, peer->row.mesh, &packet);
+	fg_gw_mesh_send(gw, peer->row.mesh, &packet);
 }
 
-void fg_mesh_send_load_req(struct fg_gateway *gw, uint64_t owner,
-			   struct fg_fleet_ep *ep, const char *model,
-			   const char *adapter, uint64_t version)
+void fg_gw_mesh_send_load_req(struct fg_gateway *gw, uint64_t owner,
+			      struct fg_fleet_ep *ep, const char *model,
+			      const char *adapter, uint64_t version)
 {
 	const struct fg_mesh_peer *peer = fg_peers_find(gw->peers, owner);
 	fg_mesh_packet packet;
@@ -271,38 +272,40 @@
 
 	if (peer == NULL)
 		return;
-	fg_mesh_init_packet(gw, &packet, FG_MESH_LOAD_REQ);
+	fg_gw_mesh_init_packet(gw, &packet, FG_MESH_LOAD_REQ);
 	req->ep = ep->hash;
 	req->model = (char *)model;
 	req->adapter = (char *)adapter;
 	req->ver = version;
-	fg_mesh_send(gw, peer->row.mesh, &packet);
+	fg_gw_mesh_send(gw, peer->row.mesh, &packet);
 }
 
-/* ---- Clock ---- */
+/* ---- Periodic tick ---- */
 
-void fg_mesh_tick(struct fg_gateway *gw, fg_ms now)
+void fg_gw_mesh_tick(struct fg_gateway *gw, fg_ms now)
 {
 	fg_ms peers = fg_peers_all(gw->peers)->len;
-	fg_ms least_ms = MAX(NEAR_MIN_MS, NEAR_MS_PER_PEER * peers);
-	fg_ms far_ms = MAX(FAR_MIN_MS, FAR_MS_PER_PEER * peers);
+	fg_ms near_interval_ms = MAX(NEAR_MIN_MS, NEAR_MS_PER_PEER * peers);
+	fg_ms far_interval_ms = MAX(FAR_MIN_MS, FAR_MS_PER_PEER * peers);
 
-	repeat_all_uses(gw, now);
+	resend_all_uses(gw, now);
 	if (now - gw->near_heartbeat_at >= NEAR_MAX_MS ||
-	    (gw->heartbeat_due && now - gw->near_heartbeat_at >= least_ms))
-		near_heartbeat(gw, now);
-	if (now - gw->far_heartbeat_at >= far_ms) {
+	    (gw->heartbeat_due &&
+	     now - gw->near_heartbeat_at >= near_interval_ms))
+		send_near_heartbeat(gw, now);
+	if (now - gw->far_heartbeat_at >= far_interval_ms) {
 		send_heartbeat(gw, false);
 		gw->far_heartbeat_at = now;
-		age_crashes(gw);
+		expire_crashes(gw);
 	}
 }
 
-void fg_mesh_report_crash(struct fg_gateway *gw, const fg_mesh_crash *crash)
+void fg_gw_mesh_report_crash(struct fg_gateway *gw, const fg_mesh_crash *crash)
 {
-	struct fg_crash_notice t = { .crash = *crash, .left = CRASH_REPEATS };
+	struct fg_crash_notice notice = { .crash = *crash,
+					  .left = CRASH_REPEATS };
 
-	fg_mesh_take_crash(gw, gw->incarnation, crash, fg_clock_now());
-	g_array_append_val(gw->crashes, t);
+	fg_gw_mesh_apply_crash(gw, gw->incarnation, crash, fg_clock_now());
+	g_array_append_val(gw->crashes, notice);
 	gw->heartbeat_due = true;
 }
--- a/lib/gateway/fg_gw_orders.c
+++ b/lib/gateway/fg_gw_orders.c
@@ -1,41 +1,43 @@
-/* Adapter loads of the engines that this instance orders. */
+/* Ordering of adapter loads at the engines that this instance owns. */
 #include "gateway/fg_gateway_internal.h"
 
 #include <string.h>
 
-/* An order without an answer for this long may act later. Engines answer at
- * once, a region's round trip is 24 ms, and everything else waits meanwhile. */
+/* An order without an answer for this long may still act later. Engines answer
+ * at once and a round trip between regions takes 24 ms; a longer timeout would
+ * delay all other messages to the engine. */
 #define ORDER_TIMEOUT_MS 300
 #define REPORT_TIMEOUT_MS 800
-/* Loads on their way to one engine at once: the engines' own bound. */
-#define COMING_MAX 4
-/* A slot frees about each 150 ms at a busy engine, so that the last of these
- * still comes within the aim of its request. */
+/* Concurrent loads at one engine; the engines enforce the same limit. */
+#define LOADS_MAX 4
+/* Adapters that may wait for a slot. A busy engine frees a slot about every
+ * 150 ms, so that the last one is still loaded within the target latency of its
+ * request. */
 #define QUEUE_MAX 6
-/* A load that nobody waits for any more. */
-#define WANT_MAX_MS 1500
+/* A requested load is dropped when it was not requested again for this long. */
+#define LOAD_REQUEST_TTL_MS 1500
 
-static void kick(struct fg_ep_user *u);
+static void send_next_message(struct fg_ep_local *local);
 
-/* ---- What is resident ---- */
+/* ---- Resident adapters ---- */
 
-static void mark_coming(struct fg_ep_user *u, fg_ms now)
+static void mark_adapters_pending(struct fg_ep_local *local, fg_ms now)
 {
 	uint64_t keys[FG_SLOTS_MAX];
-	uint32_t n = fg_slots_list_pending(u->slots, keys);
+	uint32_t n = fg_slots_list_pending(local->slots, keys);
 
 	for (uint32_t i = 0; i < n; i++) {
 		struct fg_ep_adapter *a =
-			fg_ep_adapter_find_or_add(u->ep, now, keys[i]);
+			fg_ep_adapter_find_or_add(local->ep, now, keys[i]);
 
 		if (a != NULL)
 			a->pending_at = now;
 	}
 }
 
-/* Loads from the weight store that this instance has ordered, and those that
- * wait here. */
-static uint32_t fetching(const struct fg_gateway *gw, uint32_t *waiting)
+/* Number of loads from the weight store that this instance has in progress;
+ * *waiting is the number that wait here to begin. */
+static uint32_t count_fetches(const struct fg_gateway *gw, uint32_t *waiting)
 {
 	const GPtrArray *all = fg_fleet_all(gw->fleet);
 	uint32_t n = 0;
@@ -43,26 +45,27 @@
 	*waiting = 0;
 	for (guint i = 0; i < all->len; i++) {
 		const struct fg_fleet_ep *ep = all->pdata[i];
-		const struct fg_ep_user *u = ep->user;
+		const struct fg_ep_local *local = ep->user;
 
-		if (u == NULL || u->slots == NULL)
+		if (local == NULL || local->slots == NULL)
 			continue;
-		n += fg_slots_count_fetching(u->slots);
-		*waiting += fg_slots_count_fetch_queued(u->slots);
+		n += fg_slots_count_fetching(local->slots);
+		*waiting += fg_slots_count_fetch_queued(local->slots);
 	}
 	return n;
 }
 
-/* Takes over what the slots say; true when it changed. */
-static bool publish(struct fg_ep_user *u, fg_ms now)
+/* Copies the state of the slots into the endpoint's record. Returns true when
+ * the resident adapters changed. */
+static bool update_resident(struct fg_ep_local *local, fg_ms now)
 {
 	struct fg_fleet_held held[FG_SLOTS_MAX + 1];
-	uint32_t n = fg_slots_list_resident(u->slots, held);
+	uint32_t n = fg_slots_list_resident(local->slots, held);
 	uint32_t same = 0;
 	uint32_t before = 0;
 	uint32_t running;
 	uint32_t waiting;
-	struct fg_fleet_ep *ep = u->ep;
+	struct fg_fleet_ep *ep = local->ep;
 
 	for (uint32_t i = 0; i < n; i++) {
 		const struct fg_ep_adapter *a =
@@ -72,59 +75,60 @@
 	}
 	for (uint32_t i = 0; i < ep->n_adapters; i++)
 		before += ep->adapters[i].version != 0 ? 1 : 0;
-	mark_coming(u, now);
+	mark_adapters_pending(local, now);
 	ep->resident_at = now;
-	ep->spare_age_ms = fg_slots_spare_age_ms(u->slots, now);
-	ep->queue = fg_slots_queue_len(u->slots);
-	running = fetching(u->gw, &waiting);
+	ep->spare_age_ms = fg_slots_spare_age_ms(local->slots, now);
+	ep->queue = fg_slots_queue_len(local->slots);
+	running = count_fetches(local->gw, &waiting);
 	ep->fetch_wait_ms =
-		fg_loadgate_wait_ms(&u->gw->loadgate, running, waiting);
+		fg_loadgate_wait_ms(&local->gw->loadgate, running, waiting);
 	if (same == n && before == n)
 		return false;
 	fg_ep_set_resident(ep, now, held, n);
 	return true;
 }
 
-static void changed(struct fg_ep_user *u)
+static void announce_change(struct fg_ep_local *local)
 {
-	struct fg_gateway *gw = u->gw;
-	struct fg_fleet_ep *ep = u->ep;
+	struct fg_gateway *gw = local->gw;
+	struct fg_fleet_ep *ep = local->ep;
 
-	if (!publish(u, fg_clock_now()))
+	if (!update_resident(local, fg_clock_now()))
 		return;
-	fg_mesh_heartbeat_now(gw);
-	fg_gwreq_resident(gw, ep);
+	fg_gw_mesh_send_heartbeat(gw);
+	fg_gwreq_on_resident(gw, ep);
 }
 
 /* ---- Messages to the engine ---- */
 
-static void log_order(const struct fg_ep_user *u, const char *event,
+static void log_order(const struct fg_ep_local *local, const char *event,
 		      unsigned int status)
 {
 	char code[12];
 	char fence[24];
 
 	g_snprintf(code, sizeof(code), "%u", status);
-	g_snprintf(fence, sizeof(fence), "%llu", (unsigned long long)u->fence);
-	fg_log(FG_LOG_INFO, "orders", event, "endpoint", u->ep->facts.id,
+	g_snprintf(fence, sizeof(fence), "%llu",
+		   (unsigned long long)local->fence);
+	fg_log(FG_LOG_INFO, "orders", event, "endpoint", local->ep->facts.id,
 	       "status", code, "fence", fence, NULL);
 }
 
-static void log_fetched(const struct fg_ep_user *u, uint32_t took_ms)
+static void log_fetch(const struct fg_ep_local *local, uint32_t took_ms)
 {
 	char took[12];
 	char window[12];
 
 	g_snprintf(took, sizeof(took), "%u", took_ms);
-	g_snprintf(window, sizeof(window), "%.1f", u->gw->loadgate.window);
-	fg_log(FG_LOG_INFO, "orders", "fetched", "endpoint", u->ep->facts.id,
-	       "took_ms", took, "window", window, NULL);
+	g_snprintf(window, sizeof(window), "%.1f", local->gw->loadgate.window);
+	fg_log(FG_LOG_INFO, "orders", "fetched", "endpoint",
+	       local->ep->facts.id, "took_ms", took, "window", window, NULL);
 }
 
 static void on_order(void *ctx, unsigned int status, const char *body,
 		     size_t len)
 {
-	struct fg_ep_user *u = ctx;
+	struct fg_ep_local *local = ctx;
 	fg_ms now = fg_clock_now();
 	enum fg_order_result result = FG_ORDER_UNKNOWN;
 	uint32_t took_ms;
@@ -133,147 +137,152 @@
 	(void)body;
 	(void)len;
 	if (status != 0)
-		result = u->gw->wire->order_result(status);
+		result = local->gw->wire->order_result(status);
 	if (result != FG_ORDER_ACCEPTED && result != FG_ORDER_HOLDS)
-		log_order(u, "order_failed", status);
+		log_order(local, "order_failed", status);
 	if (result == FG_ORDER_MISDIRECTED) {
-		u->ep->addr_taken = true;
-		fg_orders_drop(u);
+		local->ep->addr_taken = true;
+		fg_orders_release(local);
 		return;
 	}
 	if (result == FG_ORDER_FENCED) {
-		fg_claims_fenced(u->gw->claims, now, u->ep->facts.id);
-		fg_orders_drop(u);
+		fg_claims_fenced(local->gw->claims, now, local->ep->facts.id);
+		fg_orders_release(local);
 		return;
 	}
-	fg_slots_handle_result(u->slots, now, result);
-	took_ms = fg_slots_take_fetched_ms(u->slots);
+	fg_slots_handle_result(local->slots, now, result);
+	took_ms = fg_slots_take_fetched_ms(local->slots);
 	if (took_ms > 0) {
-		fg_loadgate_record_load(&u->gw->loadgate, took_ms,
-					fetching(u->gw, &waiting));
-		fg_hist_add(u->gw->hist_load, took_ms);
-		log_fetched(u, took_ms);
+		fg_loadgate_record_load(&local->gw->loadgate, took_ms,
+					count_fetches(local->gw, &waiting));
+		fg_hist_add(local->gw->hist_load, took_ms);
+		log_fetch(local, took_ms);
 	}
-	changed(u);
-	kick(u);
+	announce_change(local);
+	send_next_message(local);
 }
 
 static void on_report(void *ctx, unsigned int status, const char *body,
 		      size_t len)
 {
-	struct fg_ep_user *u = ctx;
+	struct fg_ep_local *local = ctx;
 	fg_ms now = fg_clock_now();
 	struct fg_report report;
 	GError *why = NULL;
 	bool ok = false;
 
 	if (status == HTTP_STATUS_OK) {
-		ok = u->gw->wire->report_read(body, len, &report, &why);
+		ok = local->gw->wire->report_read(body, len, &report, &why);
 		if (!ok) {
 			fg_log(FG_LOG_WARN, "orders", "report_refused",
-			       "endpoint", u->ep->facts.id, "reason",
+			       "endpoint", local->ep->facts.id, "reason",
 			       why->message, NULL);
 			g_error_free(why);
 		}
 	} else {
-		log_order(u, "report_failed", status);
+		log_order(local, "report_failed", status);
 	}
-	fg_slots_handle_report(u->slots, now, ok ? &report : NULL);
-	changed(u);
-	kick(u);
+	fg_slots_handle_report(local->slots, now, ok ? &report : NULL);
+	announce_change(local);
+	send_next_message(local);
 }
 
-static void send_order(struct fg_ep_user *u, const struct fg_slots_step *step)
+static void send_order(struct fg_ep_local *local,
+		       const struct fg_slots_step *step)
 {
-	const struct fg_gateway *gw = u->gw;
+	const struct fg_gateway *gw = local->gw;
 	struct fg_wire_order order = {
 		.load = step->act == FG_SLOTS_LOAD,
-		.endpoint_id = u->ep->facts.id,
+		.endpoint_id = local->ep->facts.id,
 		.model = step->model,
 		.adapter = step->adapter,
 		.version = step->version,
 		.expected_sequence = step->expected_sequence,
 		.holder = gw->conf->name,
-		.fence = u->fence,
+		.fence = local->fence,
 	};
 
-	fg_gw_count(u->gw, "orders",
-		    order.load ? "kind=\"load\"" : "kind=\"unload\"");
+	fg_gw_count_event(local->gw, "orders",
+			  order.load ? "kind=\"load\"" : "kind=\"unload\"");
 	fg_log(FG_LOG_DEBUG, "orders", order.load ? "load" : "unload",
-	       "endpoint", u->ep->facts.id, "adapter", step->adapter, NULL);
-	fg_channel_send(u->channel,
-			gw->wire->order_write(u->ep->facts.address, &order),
-			ORDER_TIMEOUT_MS, on_order, u);
+	       "endpoint", local->ep->facts.id, "adapter", step->adapter, NULL);
+	fg_channel_send(local->channel,
+			gw->wire->order_write(local->ep->facts.address, &order),
+			ORDER_TIMEOUT_MS, on_order, local);
 }
 
-static void on_wake(uv_timer_t *timer)
+static void on_wake_timer(uv_timer_t *timer)
 {
-	kick(timer->data);
+	send_next_message(timer->data);
 }
 
-static void kick(struct fg_ep_user *u)
+static void send_next_message(struct fg_ep_local *local)
 {
 	fg_ms now = fg_clock_now();
 	struct fg_slots_step step;
 	uint32_t waiting;
 
-	if (u->slots == NULL || fg_channel_busy(u->channel) ||
-	    !u->gw->claims_checked)
+	if (local->slots == NULL || fg_channel_busy(local->channel) ||
+	    !local->gw->claims_current)
 		return;
-	step = fg_slots_next(u->slots, now,
-			     fg_loadgate_is_open(&u->gw->loadgate,
-						 fetching(u->gw, &waiting)));
+	step = fg_slots_next(
+		local->slots, now,
+		fg_loadgate_is_open(&local->gw->loadgate,
+				    count_fetches(local->gw, &waiting)));
 	switch (step.act) {
 	case FG_SLOTS_REPORT:
-		fg_gw_count(u->gw, "reports", NULL);
-		fg_channel_send(u->channel,
-				u->gw->wire->report_ask(u->ep->facts.address,
-							u->ep->facts.id),
-				REPORT_TIMEOUT_MS, on_report, u);
+		fg_gw_count_event(local->gw, "reports", NULL);
+		fg_channel_send(
+			local->channel,
+			local->gw->wire->report_ask(local->ep->facts.address,
+						    local->ep->facts.id),
+			REPORT_TIMEOUT_MS, on_report, local);
 		break;
 	case FG_SLOTS_LOAD:
 	case FG_SLOTS_UNLOAD:
-		send_order(u, &step);
+		send_order(local, &step);
 		break;
 	default:
-		uv_timer_stop(u->timer);
+		uv_timer_stop(local->timer);
 		if (step.wake_at != FG_MS_NEVER)
-			uv_timer_start(u->timer, on_wake,
+			uv_timer_start(local->timer, on_wake_timer,
 				       (uint64_t)MAX(step.wake_at - now, 1), 0);
 	}
 }
 
-/* ---- Which engines ---- */
+/* ---- Choice of engines ---- */
 
-/* Adapters with requests in flight count as used. */
-static void note_running(struct fg_ep_user *u, fg_ms now)
+/* Marks adapters with requests in flight as used, so that none is evicted, and
+ * refreshes the totals of the other instances. */
+static void update_uses(struct fg_ep_local *local, fg_ms now)
 {
-	fg_uses_expire(&u->uses, now);
-	for (uint32_t i = 0; i < u->ep->n_adapters; i++) {
-		if (u->ep->adapters[i].running > 0)
-			fg_slots_mark_used(u->slots, now,
-					   u->ep->adapters[i].key);
+	fg_uses_expire(&local->uses, now);
+	for (uint32_t i = 0; i < local->ep->n_adapters; i++) {
+		if (local->ep->adapters[i].running > 0)
+			fg_slots_mark_used(local->slots, now,
+					   local->ep->adapters[i].key);
 	}
-	for (guint i = 0; i < u->uses.list->len; i++)
+	for (guint i = 0; i < local->uses.list->len; i++)
 		fg_slots_mark_used(
-			u->slots, now,
-			g_array_index(u->uses.list, struct fg_use, i).adapter);
-	u->ep->peers_running = fg_uses_running(&u->uses);
-	u->ep->peers_pending_tokens = fg_uses_pending_tokens(&u->uses);
+			local->slots, now,
+			g_array_index(local->uses.list, struct fg_use, i)
+				.adapter);
+	local->ep->peers_running = fg_uses_running(&local->uses);
+	local->ep->peers_pending_tokens = fg_uses_pending_tokens(&local->uses);
 }
 
-void fg_orders_drop(struct fg_ep_user *u)
+void fg_orders_release(struct fg_ep_local *local)
 {
-	if (u->slots == NULL)
+	if (local->slots == NULL)
 		return;
-	fg_slots_free(u->slots);
-	fg_uses_clear(&u->uses);
-	u->slots = NULL;
-	fg_channel_free(u->channel);
-	u->channel = NULL;
-	fg_gw_timer_free(u->timer);
-	u->timer = NULL;
-	u->fence = 0;
+	fg_slots_free(local->slots);
+	fg_uses_clear(&local->uses);
+	local->slots = NULL;
+	fg_channel_free(local->channel);
+	local->channel = NULL;
+	fg_gw_timer_free(local->timer);
+	local->timer = NULL;
+	local->fence = 0;
 }
 
 static void apply_versions(struct fg_gateway *gw, struct fg_slots *slots)
@@ -281,47 +290,48 @@
 	GHashTableIter it;
 	gpointer value;
 
-	g_hash_table_iter_init(&it, gw->versions);
+	g_hash_table_iter_init(&it, gw->announced_versions);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
-		const struct fg_wanted_version *w = value;
+		const struct fg_announced_version *announced = value;
 
-		fg_slots_announce_version(slots, w->key, w->version);
+		fg_slots_announce_version(slots, announced->key,
+					  announced->version);
 	}
 }
 
-static void take_up(struct fg_ep_user *u, const struct fg_svc *service,
-		    uint64_t fence)
+static void take_over_engine(struct fg_ep_local *local,
+			     const struct fg_svc *service, uint64_t fence)
 {
-	struct fg_gateway *gw = u->gw;
+	struct fg_gateway *gw = local->gw;
 	struct fg_slots_conf conf = {
 		.slots = service->adapter_slots,
 		.load_ms = gw->balance.load_ms,
-		.loads_max = COMING_MAX,
+		.loads_max = LOADS_MAX,
 		.queue_max = QUEUE_MAX,
-		.request_ttl_ms = WANT_MAX_MS,
+		.request_ttl_ms = LOAD_REQUEST_TTL_MS,
 	};
 
 	if (service->n_models > 0)
 		g_strlcpy(conf.model, service->models[0].name,
 			  sizeof(conf.model));
-	u->slots = fg_slots_new(&conf);
-	fg_uses_init(&u->uses);
-	u->channel = fg_channel_new(&gw->loop, u->ep->facts.address);
-	u->timer = fg_gw_timer_new(gw, u);
-	u->fence = fence;
-	u->facts_seen = u->ep->facts;
-	apply_versions(gw, u->slots);
-	log_order(u, "holds_orders", 0);
+	local->slots = fg_slots_new(&conf);
+	fg_uses_init(&local->uses);
+	local->channel = fg_channel_new(&gw->loop, local->ep->facts.address);
+	local->timer = fg_gw_timer_new(gw, local);
+	local->fence = fence;
+	local->facts_seen = local->ep->facts;
+	apply_versions(gw, local->slots);
+	log_order(local, "holds_orders", 0);
 }
 
-static bool restarted(const struct fg_ep_user *u)
+static bool has_restarted(const struct fg_ep_local *local)
 {
-	return u->facts_seen.born != u->ep->facts.born ||
-	       strcmp(u->facts_seen.address, u->ep->facts.address) != 0;
+	return local->facts_seen.born != local->ep->facts.born ||
+	       strcmp(local->facts_seen.address, local->ep->facts.address) != 0;
 }
 
-static const struct fg_svc *engine_of(const struct fg_gateway *gw,
-				      const struct fg_fleet_ep *ep)
+static const struct fg_svc *engine_service(const struct fg_gateway *gw,
+					   const struct fg_fleet_ep *ep)
 {
 	const struct fg_svc *s;
 	int i;
@@ -335,7 +345,8 @@
 	return s->engine ? s : NULL;
 }
 
-static void note_owner(struct fg_gateway *gw, struct fg_fleet_ep *ep, fg_ms now)
+static void update_owner(struct fg_gateway *gw, struct fg_fleet_ep *ep,
+			 fg_ms now)
 {
 	uint64_t holder = fg_claims_holder(gw->claims, ep->facts.id);
 	const struct fg_mesh_peer *peer = fg_peers_find(gw->peers, holder);
@@ -347,97 +358,99 @@
 		ep->owner = 0;
 }
 
-void fg_orders_check(struct fg_gateway *gw, fg_ms now)
+void fg_orders_refresh(struct fg_gateway *gw, fg_ms now)
 {
 	const GPtrArray *all = fg_fleet_all(gw->fleet);
 
 	for (guint i = 0; i < all->len; i++) {
 		struct fg_fleet_ep *ep = all->pdata[i];
-		const struct fg_svc *service = engine_of(gw, ep);
+		const struct fg_svc *service = engine_service(gw, ep);
 		uint64_t fence = fg_claims_fence(gw->claims, ep->facts.id);
-		struct fg_ep_user *u = ep->user;
+		struct fg_ep_local *local = ep->user;
 
 		if (service == NULL)
 			continue;
-		note_owner(gw, ep, now);
-		if (u != NULL && u->slots != NULL &&
-		    (fence != u->fence || restarted(u)))
-			fg_orders_drop(u);
+		update_owner(gw, ep, now);
+		if (local != NULL && local->slots != NULL &&
+		    (fence != local->fence || has_restarted(local)))
+			fg_orders_release(local);
 		if (fence == 0 || !fg_ep_is_usable(ep, now)) {
-			if (u != NULL)
-				fg_orders_drop(u);
+			if (local != NULL)
+				fg_orders_release(local);
 			continue;
 		}
-		u = fg_ep_user_of(gw, ep);
-		if (u->slots == NULL)
-			take_up(u, service, fence);
-		note_running(u, now);
-		publish(u, now);
-		kick(u);
+		local = fg_ep_local_get(gw, ep);
+		if (local->slots == NULL)
+			take_over_engine(local, service, fence);
+		update_uses(local, now);
+		update_resident(local, now);
+		send_next_message(local);
 	}
 }
 
-/* ---- For the other parts ---- */
+/* ---- Interface to the other files ---- */
 
-enum fg_slot_state fg_orders_want(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-				  const char *model, const char *adapter,
-				  uint64_t version)
+enum fg_slot_state fg_orders_request_load(struct fg_gateway *gw,
+					  struct fg_fleet_ep *ep,
+					  const char *model,
+					  const char *adapter, uint64_t version)
 {
-	struct fg_ep_user *u = fg_ep_user_of(gw, ep);
+	struct fg_ep_local *local = fg_ep_local_get(gw, ep);
 	enum fg_slot_state state;
 
-	if (u->slots != NULL) {
-		state = fg_slots_request_load(u->slots, fg_clock_now(), model,
-					      adapter, version);
-		kick(u);
+	if (local->slots != NULL) {
+		state = fg_slots_request_load(local->slots, fg_clock_now(),
+					      model, adapter, version);
+		send_next_message(local);
 		return state;
 	}
 	if (ep->owner == 0 || ep->owner == gw->incarnation)
 		return FG_SLOT_FULL;
-	fg_mesh_send_load_req(gw, ep->owner, ep, model, adapter, version);
+	fg_gw_mesh_send_load_req(gw, ep->owner, ep, model, adapter, version);
 	return FG_SLOT_PENDING;
 }
 
-void fg_orders_used(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-		    struct fg_ep_adapter *a)
+void fg_orders_note_use(struct fg_gateway *gw, struct fg_fleet_ep *ep,
+			struct fg_ep_adapter *a)
 {
-	const struct fg_ep_user *u = ep->user;
+	const struct fg_ep_local *local = ep->user;
 	fg_ms now = fg_clock_now();
 
 	a->used_at = now;
-	if (u != NULL && u->slots != NULL)
-		fg_slots_mark_used(u->slots, now, a->key);
+	if (local != NULL && local->slots != NULL)
+		fg_slots_mark_used(local->slots, now, a->key);
 	else if (ep->owner != 0)
-		fg_mesh_send_use(gw, ep, a);
+		fg_gw_mesh_send_use(gw, ep, a);
 }
 
-void fg_orders_take_use(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-			const struct fg_use *use)
+void fg_orders_apply_use(struct fg_gateway *gw, struct fg_fleet_ep *ep,
+			 const struct fg_use *use)
 {
-	struct fg_ep_user *u = ep->user;
+	struct fg_ep_local *local = ep->user;
 
 	(void)gw;
-	if (u == NULL || u->slots == NULL)
+	if (local == NULL || local->slots == NULL)
 		return;
-	fg_uses_put(&u->uses, use);
-	fg_slots_mark_used(u->slots, use->reported_at, use->adapter);
-	ep->peers_running = fg_uses_running(&u->uses);
-	ep->peers_pending_tokens = fg_uses_pending_tokens(&u->uses);
+	fg_uses_put(&local->uses, use);
+	fg_slots_mark_used(local->slots, use->reported_at, use->adapter);
+	ep->peers_running = fg_uses_running(&local->uses);
+	ep->peers_pending_tokens = fg_uses_pending_tokens(&local->uses);
 }
 
-void fg_orders_announced(struct fg_gateway *gw, uint64_t key, uint64_t version)
+void fg_orders_on_announcement(struct fg_gateway *gw, uint64_t key,
+			       uint64_t version)
 {
 	const GPtrArray *all = fg_fleet_all(gw->fleet);
 
 	for (guint i = 0; i < all->len; i++) {
 		struct fg_fleet_ep *ep = all->pdata[i];
-		struct fg_ep_user *u = ep->user;
+		struct fg_ep_local *local = ep->user;
 		struct fg_ep_adapter *a = fg_ep_adapter_find(ep, key);
 
-		if (u != NULL && u->slots != NULL) {
-			fg_slots_announce_version(u->slots, key, version);
-			changed(u);
-			kick(u);
+		if (local != NULL && local->slots != NULL) {
+			fg_slots_announce_version(local->slots, key, version);
+			announce_change(local);
+			send_next_message(local);
 		} else if (a != NULL && a->version < version) {
 			a->version = 0;
 		}
--- a/lib/gateway/fg_gw_own.c
+++ b/lib/gateway/fg_gw_own.c
@@ -1,35 +1,37 @@
-/* The rows that this instance writes: itself, and the engines it orders. */
+/* Rows that this instance writes: its own row, and its claims of engines. */
 #include "gateway/fg_gateway_internal.h"
 
-/* A transaction takes 5 ms; longer means that its end is unknown. */
+/* A transaction takes 5 ms; after this its result counts as unknown. */
 #define TX_TIMEOUT_MS 1500
-/* Between two transactions, so that claims gather. */
+/* Pause between two transactions, which lets claims accumulate. */
 #define TX_GAP_MS 250
-/* Time for the other instances to be heard of before engines are claimed. */
+/* Wait before the first claim, in which heartbeats of the other instances
+ * arrive. */
 #define CLAIM_AFTER_MS 700
 
-static void on_self_written(void *ctx, unsigned int status, const char *body,
-			    size_t len)
+static void on_own_row_written(void *ctx, unsigned int status, const char *body,
+			       size_t len)
 {
 	struct fg_gateway *gw = ctx;
 
 	(void)body;
 	(void)len;
-	gw->tx_at = fg_clock_now() + TX_GAP_MS;
-	gw->announced_self = status == HTTP_STATUS_OK;
-	if (!gw->announced_self)
+	gw->next_tx_at = fg_clock_now() + TX_GAP_MS;
+	gw->own_row_written = status == HTTP_STATUS_OK;
+	if (!gw->own_row_written)
 		fg_log(FG_LOG_WARN, "sync", "own_row_not_written", NULL);
 }
 
 static void send_tx(struct fg_gateway *gw, const struct fg_tx_row *rows,
 		    uint32_t n, fg_channel_done done)
 {
-	fg_gw_count(gw, "store_calls", NULL);
-	fg_channel_send(gw->tx, gw->wire->rows_tx(gw->conf->store, rows, n),
+	fg_gw_count_event(gw, "store_calls", NULL);
+	fg_channel_send(gw->tx_channel,
+			gw->wire->rows_tx(gw->conf->store, rows, n),
 			TX_TIMEOUT_MS, done, gw);
 }
 
-void fg_sync_write_self(struct fg_gateway *gw)
+void fg_sync_write_own_row(struct fg_gateway *gw)
 {
 	struct fg_peer_row self = { .incarnation = gw->incarnation };
 	struct fg_tx_row row = { .table = FG_SYNC_TABLE_OWN };
@@ -43,7 +45,7 @@
 	value = fg_peer_row_write(&self);
 	row.key = key;
 	row.value = value;
-	send_tx(gw, &row, 1, on_self_written);
+	send_tx(gw, &row, 1, on_own_row_written);
 	g_free(key);
 	g_free(value);
 }
@@ -57,7 +59,7 @@
 	char count[12];
 	char code[12];
 
-	gw->tx_at = now + TX_GAP_MS;
+	gw->next_tx_at = now + TX_GAP_MS;
 	if (status == HTTP_STATUS_OK &&
 	    gw->wire->rows_read(body, len, &rows, NULL))
 		fg_claims_written(gw->claims, now, gw->claiming, gw->n_claiming,
@@ -67,11 +69,11 @@
 	g_snprintf(code, sizeof(code), "%u", status);
 	fg_log(FG_LOG_INFO, "orders", "claimed", "engines", count, "status",
 	       code, NULL);
-	fg_orders_check(gw, now);
+	fg_orders_refresh(gw, now);
 }
 
-static uint32_t live_claimants(struct fg_gateway *gw, fg_ms now,
-			       struct fg_claimant *out, uint32_t max)
+static uint32_t list_candidates(struct fg_gateway *gw, fg_ms now,
+				struct fg_claimant *out, uint32_t max)
 {
 	const GPtrArray *peers = fg_peers_all(gw->peers);
 	uint32_t n = 0;
@@ -100,8 +102,8 @@
 	return n;
 }
 
-/* Engines that may be given orders. */
-static GPtrArray *engines(struct fg_gateway *gw, fg_ms now)
+/* Usable endpoints of engine services. The caller frees the array. */
+static GPtrArray *usable_engines(struct fg_gateway *gw, fg_ms now)
 {
 	const GPtrArray *all = fg_fleet_all(gw->fleet);
 	GPtrArray *out = g_ptr_array_new();
@@ -122,14 +124,14 @@
 	return out;
 }
 
-/* More instances than any deployment in view has. */
-#define CLAIMANTS_MAX 1024
+/* More instances than any planned deployment has. */
+#define CANDIDATES_MAX 1024
 
-static void claim(struct fg_gateway *gw, fg_ms now)
+static void claim_engines(struct fg_gateway *gw, fg_ms now)
 {
-	struct fg_claimant *live = g_new(struct fg_claimant, CLAIMANTS_MAX);
-	uint32_t n_live = live_claimants(gw, now, live, CLAIMANTS_MAX);
-	GPtrArray *eps = engines(gw, now);
+	struct fg_claimant *live = g_new(struct fg_claimant, CANDIDATES_MAX);
+	uint32_t n_live = list_candidates(gw, now, live, CANDIDATES_MAX);
+	GPtrArray *eps = usable_engines(gw, now);
 	struct fg_tx_row rows[FG_CLAIM_BATCH_MAX];
 	char *value = fg_claims_value(gw->claims, gw->conf->name);
 
@@ -159,15 +161,16 @@
 {
 	const struct fg_feed *own = &gw->feeds[FG_FEED_OWN];
 
-	fg_relay_follow(gw, now);
-	if (fg_channel_busy(gw->tx) || now < gw->tx_at)
+	fg_gw_relay_follow(gw, now);
+	if (fg_channel_busy(gw->tx_channel) || now < gw->next_tx_at)
 		return;
-	if (!gw->announced_self) {
-		fg_sync_write_self(gw);
+	if (!gw->own_row_written) {
+		fg_sync_write_own_row(gw);
 		return;
 	}
-	if (gw->own_since == 0 || now - gw->own_since < CLAIM_AFTER_MS ||
-	    !gw->claims_checked || own->failures > 0 || gw->stopping)
+	if (gw->own_table_known_at == 0 ||
+	    now - gw->own_table_known_at < CLAIM_AFTER_MS ||
+	    !gw->claims_current || own->failures > 0 || gw->stopping)
 		return;
-	claim(gw, now);
+	claim_engines(gw, now);
 }
--- a/lib/gateway/fg_gw_pages.c
+++ b/lib/gateway/fg_gw_pages.c
@@ -1,30 +1,32 @@
-/* Address lookup, readiness, metrics and state. */
+/* Address lookup, readiness, metrics and state dump. */
 #include "gateway/fg_gateway_internal.h"
 
 #include <string.h>
 
 #define JSON "application/json"
 #define TEXT "text/plain; version=0.0.4"
-/* Addresses of one answer: what callers read at most. */
+/* Callers read at most this many addresses from an answer. */
 #define ADDRESSES_MAX 64
 
 bool fg_gateway_ready(const struct fg_gateway *gw)
 {
-	return gw->routes != NULL && gw->feeds[FG_FEED_REGISTRY].complete &&
-	       !gw->stopping;
+	return gw->routes != NULL &&
+	       gw->feeds[FG_FEED_REGISTRY].full_read_done && !gw->stopping;
 }
 
-static void answer(struct fg_caller *c, unsigned int status, const char *type,
-		   const char *body)
+static void send_page(struct fg_caller *c, unsigned int status,
+		      const char *type, const char *body)
 {
 	fg_caller_answer(c, status, NULL, 0, type, body, strlen(body));
-	fg_caller_done(c);
+	fg_caller_finish_answer(c);
 }
 
 /* ---- Address lookup ---- */
 
-/* Instances that serve callers; of the region, or of all when NULL. */
-static GPtrArray *serving(struct fg_gateway *gw, const char *region, fg_ms now)
+/* Addresses of the instances that serve callers, in `region` or, when that is
+ * NULL, in all regions. The caller frees the array. */
+static GPtrArray *serving_addresses(struct fg_gateway *gw, const char *region,
+				    fg_ms now)
 {
 	const GPtrArray *peers = fg_peers_all(gw->peers);
 	GPtrArray *out = g_ptr_array_new();
@@ -42,8 +44,8 @@
 	return out;
 }
 
-/* Moves a random choice of at most `max` entries to the front. */
-static void choose(GPtrArray *all, guint max, struct fg_rand *rand)
+/* Reduces the array to a random sample of at most `max` entries. */
+static void sample(GPtrArray *all, guint max, struct fg_rand *rand)
 {
 	for (guint i = 0; i < all->len && i < max; i++) {
 		guint k = i + (guint)fg_rand_below(rand, all->len - i);
@@ -62,33 +64,34 @@
 	fg_ms now = fg_clock_now();
 	const char *region =
 		lookup->region == NULL ? gw->conf->region : lookup->region;
-	GPtrArray *found = serving(gw, region, now);
+	GPtrArray *found = serving_addresses(gw, region, now);
 	GString *body = g_string_new(NULL);
 
 	if (found->len == 0) {
 		g_ptr_array_unref(found);
-		found = serving(gw, NULL, now);
+		found = serving_addresses(gw, NULL, now);
 	}
-	choose(found, ADDRESSES_MAX, &gw->rand);
+	sample(found, ADDRESSES_MAX, &gw->rand);
 	gw->wire->lookup_write(body, (const char *const *)found->pdata,
 			       found->len, gw->conf->lookup_ttl_s);
 	if (found->len == 0)
-		answer(c, HTTP_STATUS_SERVICE_UNAVAILABLE, NULL, "");
+		send_page(c, HTTP_STATUS_SERVICE_UNAVAILABLE, NULL, "");
 	else
-		answer(c, HTTP_STATUS_OK, JSON, body->str);
+		send_page(c, HTTP_STATUS_OK, JSON, body->str);
 	g_string_free(body, TRUE);
 	g_ptr_array_unref(found);
 }
 
-/* ---- State ---- */
+/* ---- State dump ---- */
 
-static void put_endpoints(GString *out, const struct fg_gateway *gw, fg_ms now)
+static void append_endpoints(GString *out, const struct fg_gateway *gw,
+			     fg_ms now)
 {
 	const GPtrArray *all = fg_fleet_all(gw->fleet);
 
 	for (guint i = 0; i < all->len; i++) {
 		const struct fg_fleet_ep *ep = all->pdata[i];
-		const struct fg_ep_user *u = ep->user;
+		const struct fg_ep_local *local = ep->user;
 
 		g_string_append_printf(
 			out,
@@ -99,7 +102,7 @@
 			fg_ep_is_usable(ep, now), ep->listed, ep->running,
 			ep->peers_running, ep->pending_tokens,
 			ep->peers_pending_tokens, ep->error_rate, ep->slowness,
-			(unsigned long long)(u == NULL ? 0 : u->fence),
+			(unsigned long long)(local == NULL ? 0 : local->fence),
 			ep->spare_age_ms);
 		for (uint32_t k = 0; k < ep->n_adapters; k++) {
 			if (ep->adapters[k].version != 0)
@@ -112,7 +115,7 @@
 	}
 }
 
-static void put_peers(GString *out, const struct fg_gateway *gw, fg_ms now)
+static void append_peers(GString *out, const struct fg_gateway *gw, fg_ms now)
 {
 	const GPtrArray *peers = fg_peers_all(gw->peers);
 
@@ -128,7 +131,8 @@
 
 #define SUSPECTS_SHOWN_MAX 32
 
-static void put_suspects(GString *out, const struct fg_gateway *gw, fg_ms now)
+static void append_suspects(GString *out, const struct fg_gateway *gw,
+			    fg_ms now)
 {
 	struct fg_suspect_view views[SUSPECTS_SHOWN_MAX];
 	size_t n =
@@ -141,7 +145,7 @@
 			views[i].crashes, views[i].refused);
 }
 
-static char *state_text(struct fg_gateway *gw)
+static char *format_state(struct fg_gateway *gw)
 {
 	fg_ms now = fg_clock_now();
 	GString *out = g_string_new(NULL);
@@ -161,19 +165,19 @@
 			"feed %s version=%llu failures=%u age_ms=%lld "
 			"calls=%u\n",
 			gw->feeds[i].table,
-			(unsigned long long)gw->feeds[i].after,
+			(unsigned long long)gw->feeds[i].synced_version,
 			gw->feeds[i].failures,
-			(long long)(now - gw->feeds[i].confirmed),
-			gw->feeds[i].calls);
-	put_endpoints(out, gw, now);
-	put_peers(out, gw, now);
-	put_suspects(out, gw, now);
+			(long long)(now - gw->feeds[i].confirmed_at),
+			gw->feeds[i].store_calls);
+	append_endpoints(out, gw, now);
+	append_peers(out, gw, now);
+	append_suspects(out, gw, now);
 	return g_string_free(out, FALSE);
 }
 
-/* ---- Dispatch ---- */
+/* ---- Metrics ---- */
 
-static const char *state_name(enum fg_gwreq_state state)
+static const char *wait_label(enum fg_gwreq_state state)
 {
 	switch (state) {
 	case FG_GWREQ_WAIT_TOTALS:
@@ -187,13 +191,14 @@
 	}
 }
 
-/* How many requests wait for what, and the age of the oldest. */
-static void set_waits(struct fg_gateway *gw, fg_ms now)
+/* Sets the number of unanswered requests in each state, and the age of the
+ * oldest one. */
+static void set_wait_gauges(struct fg_gateway *gw, fg_ms now)
 {
 	for (int state = FG_GWREQ_WAIT_TOTALS; state <= FG_GWREQ_SENT;
 	     state++) {
 		char *labels = g_strdup_printf(
-			"for=\"%s\"", state_name((enum fg_gwreq_state)state));
+			"for=\"%s\"", wait_label((enum fg_gwreq_state)state));
 		fg_ms oldest_ms = 0;
 		int64_t n = 0;
 
@@ -203,7 +208,7 @@
 			if ((int)r->state != state || r->first_at != 0)
 				continue;
 			n++;
-			oldest_ms = MAX(oldest_ms, now - r->arrived);
+			oldest_ms = MAX(oldest_ms, now - r->arrived_at);
 		}
 		fg_gauge_set(fg_metrics_gauge(gw->metrics, "fg_gw_waiting",
 					      labels,
@@ -216,13 +221,13 @@
 	}
 }
 
-static void set_budgets(struct fg_gateway *gw, fg_ms now)
+static void set_budget_gauges(struct fg_gateway *gw, fg_ms now)
 {
 	GHashTableIter it;
 	gpointer service;
 	gpointer budget;
 
-	g_hash_table_iter_init(&it, gw->budgets);
+	g_hash_table_iter_init(&it, gw->retry_budgets);
 	while (g_hash_table_iter_next(&it, &service, &budget)) {
 		char *labels = g_strdup_printf("service=\"%s\"",
 					       (const char *)service);
@@ -252,14 +257,14 @@
 
 		fg_gauge_set(fg_metrics_gauge(m, "fg_gw_feed_age_ms", labels,
 					      "time since the last answer"),
-			     now - gw->feeds[i].confirmed);
+			     now - gw->feeds[i].confirmed_at);
 		fg_gauge_set(fg_metrics_gauge(m, "fg_gw_feed_version", labels,
 					      "version read so far"),
-			     (int64_t)gw->feeds[i].after);
+			     (int64_t)gw->feeds[i].synced_version);
 		g_free(labels);
 	}
-	set_waits(gw, now);
-	set_budgets(gw, now);
+	set_wait_gauges(gw, now);
+	set_budget_gauges(gw, now);
 }
 
 static void answer_metrics(struct fg_caller *c)
@@ -267,12 +272,12 @@
 	char *text;
 
 	if (strcmp(fg_h1_target(&c->h1.head), "/state") == 0) {
-		text = state_text(c->gw);
+		text = format_state(c->gw);
 	} else {
 		set_gauges(c->gw);
 		text = fg_metrics_render(c->gw->metrics);
 	}
-	answer(c, HTTP_STATUS_OK, TEXT, text);
+	send_page(c, HTTP_STATUS_OK, TEXT, text);
 	g_free(text);
 }
 
@@ -284,17 +289,17 @@
 	if (c->kind == FG_PORT_METRICS) {
 		answer_metrics(c);
 	} else if (c->kind == FG_PORT_RELAY) {
-		fg_relay_answer(c);
+		fg_gw_relay_answer_call(c);
 	} else if (wire->is_ready_check(&c->h1.head)) {
-		answer(c,
-		       fg_gateway_ready(c->gw)
-			       ? HTTP_STATUS_OK
-			       : HTTP_STATUS_SERVICE_UNAVAILABLE,
-		       NULL, "");
+		send_page(c,
+			  fg_gateway_ready(c->gw)
+				  ? HTTP_STATUS_OK
+				  : HTTP_STATUS_SERVICE_UNAVAILABLE,
+			  NULL, "");
 	} else if (wire->is_lookup(&c->h1.head, &lookup)) {
 		answer_lookup(c, &lookup);
 		fg_lookup_clear(&lookup);
 	} else {
-		answer(c, HTTP_STATUS_NOT_FOUND, NULL, "");
+		send_page(c, HTTP_STATUS_NOT_FOUND, NULL, "");
 	}
 }
--- a/lib/gateway/fg_gw_place.c
+++ b/lib/gateway/fg_gw_place.c
@@ -1,54 +1,57 @@
-/* Where a request runs: choice of an endpoint, and the wait for a load. */
+/* Choice of an endpoint for a request, and the wait for an adapter load. */
 #include "gateway/fg_gateway_internal.h"
 
 #include <string.h>
 
-/* A request whose adapter has not come within this is refused; a caller with
- * four seconds still has time to come back once. */
-#define LOAD_WAIT_MS 2200
-/* ... after this, in which the load may end. */
-#define RETRY_LOAD_MS 400
-/* An ask for a load is repeated, since a datagram may be lost: several times
- * in the 250 ms that a load takes. */
-#define ASK_AGAIN_MS 120
-/* When no engine can load, slots free within some tens of ms. */
-#define PLACE_AGAIN_MS 40
-/* Engines whose totals are asked for before one is chosen, the cheapest ones by
- * what is known; those that cost this much more would not be chosen anyway. */
-#define ASK_MAX 3
-#define ASK_RANGE_MS 400
-/* An answer takes a round trip: a few ms, or 24 ms to another region. */
-#define ASK_NEAR_MS 8
-#define ASK_FAR_MS 32
-/* Endpoints looked at before waiting for one that can load. */
+/* A request whose adapter is not loaded within this time is refused. A caller
+ * with a deadline of four seconds can then still retry once. */
+#define LOAD_WAIT_MAX_MS 2200
+/* Retry-After of such a refusal; the load may be complete by then. */
+#define LOAD_RETRY_AFTER_MS 400
+/* Interval at which a load is requested again, since a datagram may be lost:
+ * two repeats within the 250 ms that a load takes. */
+#define LOAD_REQUEST_REPEAT_MS 120
+/* Wait before the next choice when no engine can load the adapter; slots become
+ * free within some tens of ms. */
+#define PLACE_RETRY_MS 40
+/* Before a choice, owners are asked for the totals in flight at this many of
+ * the engines that are cheapest by current knowledge. An engine that costs more
+ * than the range above the cheapest would not be chosen anyway. */
+#define TOTALS_ENGINES_MAX 3
+#define TOTALS_COST_RANGE_MS 400
+/* Time limits for the owners' answers. A round trip takes a few ms, or 24 ms to
+ * another region. */
+#define TOTALS_NEAR_TIMEOUT_MS 8
+#define TOTALS_FAR_TIMEOUT_MS 32
+/* Endpoints tried in one go before waiting PLACE_RETRY_MS. */
 #define PLACE_TRIES 3
-/* From this long after an announcement on, only the new version is used; the
- * rest of the time allowed covers what waits in an engine's queue. */
+/* A new version is required this long before version_ms ends; the margin covers
+ * requests that still wait in an engine's queue. */
 #define VERSION_MARGIN_MS 1500
 
-uint64_t fg_gwreq_version(const struct fg_gwreq *r, fg_ms now)
+uint64_t fg_gwreq_required_version(const struct fg_gwreq *r, fg_ms now)
 {
 	fg_ms age_ms = 0;
 	uint64_t version;
 
 	if (r->adapter == 0 || r->call.adapter == NULL)
 		return 0;
-	version = fg_gw_version(r->gw, r->adapter, now, &age_ms);
+	version = fg_gw_announced_version(r->gw, r->adapter, now, &age_ms);
 	if (age_ms + VERSION_MARGIN_MS < (fg_ms)r->gw->conf->version_ms)
 		return 0;
 	return version;
 }
 
-static void send_now(struct fg_gwreq *r)
+static void send_to_endpoint(struct fg_gwreq *r)
 {
 	if (!fg_ep_is_usable(r->ep, fg_clock_now())) {
-		fg_gwreq_note_tried(r);
-		fg_gwreq_wait(r, FG_GWREQ_WAIT_RETRY, fg_clock_now());
+		fg_gwreq_mark_tried(r);
+		fg_gwreq_enter_state(r, FG_GWREQ_WAIT_RETRY, fg_clock_now());
 		return;
 	}
-	r->step_at = FG_MS_NEVER;
+	r->due_at = FG_MS_NEVER;
 	r->state = FG_GWREQ_SENT;
-	fg_gwreq_arm(r);
+	fg_gwreq_arm_timer(r);
 	fg_send_start(r);
 }
 
@@ -57,19 +60,20 @@
 	return r->call.adapter == NULL ? "" : r->call.adapter;
 }
 
-/* Asks for the load; true when it is resident already. */
-static enum fg_slot_state ask_load(struct fg_gwreq *r, fg_ms now)
+/* Requests the load of the adapter at r->ep; returns its state there. */
+static enum fg_slot_state request_load(struct fg_gwreq *r, fg_ms now)
 {
 	fg_ms age_ms;
-	uint64_t version = fg_gw_version(r->gw, r->adapter, now, &age_ms);
+	uint64_t version =
+		fg_gw_announced_version(r->gw, r->adapter, now, &age_ms);
 
-	return fg_orders_want(r->gw, r->ep, r->call.model,
-			      fg_gwreq_adapter_name(r), version);
+	return fg_orders_request_load(r->gw, r->ep, r->call.model,
+				      fg_gwreq_adapter_name(r), version);
 }
 
-static struct fg_balance_query query(struct fg_gwreq *r, fg_ms now)
+static struct fg_balance_query build_query(struct fg_gwreq *r, fg_ms now)
 {
-	struct fg_balance_query ask = {
+	struct fg_balance_query query = {
 		.service = r->service->name,
 		.svc = r->service,
 		.region = r->gw->conf->region,
@@ -79,35 +83,36 @@
 		.prompt_tokens = r->call.prompt_tokens,
 		.tokens_per_s = r->adapter == 0
 					? 0
-					: fg_gw_heat(r->gw, now, r->adapter, 0),
+					: fg_gw_update_token_rate(
+						  r->gw, now, r->adapter, 0),
 		.n_avoid = r->n_tried,
 	};
 
-	memcpy(ask.avoid, r->tried, sizeof(ask.avoid));
-	return ask;
+	memcpy(query.avoid, r->tried, sizeof(query.avoid));
+	return query;
 }
 
-static struct fg_balance_pick pick(struct fg_gwreq *r, fg_ms now)
+static struct fg_balance_pick pick_endpoint(struct fg_gwreq *r, fg_ms now)
 {
-	struct fg_balance_query ask = query(r, now);
+	struct fg_balance_query query = build_query(r, now);
 
-	return fg_balance_pick(&r->gw->balance, r->gw->fleet, now, &ask,
+	return fg_balance_pick(&r->gw->balance, r->gw->fleet, now, &query,
 			       &r->gw->rand);
 }
 
-/* Takes the cheapest endpoint: sends there, or waits for a load. */
-static void choose(struct fg_gwreq *r)
+/* Assigns the cheapest endpoint, and sends the request or waits for a load. */
+static void choose_endpoint(struct fg_gwreq *r)
 {
 	fg_ms now = fg_clock_now();
-	uint32_t left_ms = fg_gwreq_left_ms(r, now);
+	uint32_t left_ms = fg_gwreq_time_left_ms(r, now);
 	struct fg_balance_pick p;
 
-	if (left_ms < FG_GWREQ_LEFT_MIN_MS) {
+	if (left_ms < FG_GWREQ_TIME_LEFT_MIN_MS) {
 		fg_gwreq_time_out(r);
 		return;
 	}
 	for (int i = 0; i < PLACE_TRIES; i++) {
-		p = pick(r, now);
+		p = pick_endpoint(r, now);
 		if (p.ep == NULL) {
 			fg_gwreq_refuse(r, "no_endpoint",
 					FG_GWREQ_RETRY_MAX_MS / 2);
@@ -120,108 +125,110 @@
 		fg_gwreq_attach(r, p.ep);
 		r->expected_ms = p.wait_ms;
 		if (p.resident) {
-			send_now(r);
+			send_to_endpoint(r);
 			return;
 		}
-		switch (ask_load(r, now)) {
+		switch (request_load(r, now)) {
 		case FG_SLOT_RESIDENT:
-			send_now(r);
+			send_to_endpoint(r);
 			return;
 		case FG_SLOT_PENDING:
-			r->load_since = now;
-			fg_gwreq_wait(r, FG_GWREQ_WAIT_LOAD,
-				      now + ASK_AGAIN_MS);
+			r->load_wait_since = now;
+			fg_gwreq_enter_state(r, FG_GWREQ_WAIT_LOAD,
+					     now + LOAD_REQUEST_REPEAT_MS);
 			return;
 		default:
-			fg_gwreq_note_tried(r);
+			fg_gwreq_mark_tried(r);
 		}
 	}
-	fg_gwreq_wait(r, FG_GWREQ_WAIT_RETRY, now + PLACE_AGAIN_MS);
+	fg_gwreq_enter_state(r, FG_GWREQ_WAIT_RETRY, now + PLACE_RETRY_MS);
 }
 
-/* Asks the owners of the engines that come into question what is in flight
- * there: heartbeats are older than most waits. False when there is nothing to
- * ask. */
-static bool ask_totals(struct fg_gwreq *r, fg_ms now)
+/* Asks the owners of the candidate engines for the totals in flight there,
+ * since the totals in heartbeats are older than most waits are long. Returns
+ * false when there is no one to ask. */
+static bool request_totals(struct fg_gwreq *r, fg_ms now)
 {
 	struct fg_gateway *gw = r->gw;
-	struct fg_balance_query ask = query(r, now);
-	struct fg_balance_pick top[ASK_MAX];
-	uint32_t n = fg_balance_rank(&gw->balance, gw->fleet, now, &ask,
-				     &gw->rand, top, ASK_MAX);
-	fg_ms wait_ms = ASK_NEAR_MS;
+	struct fg_balance_query query = build_query(r, now);
+	struct fg_balance_pick top[TOTALS_ENGINES_MAX];
+	uint32_t n = fg_balance_rank(&gw->balance, gw->fleet, now, &query,
+				     &gw->rand, top, TOTALS_ENGINES_MAX);
+	fg_ms wait_ms = TOTALS_NEAR_TIMEOUT_MS;
 
-	r->asked = 0;
-	if (n < 2 || top[1].cost_ms - top[0].cost_ms > ASK_RANGE_MS)
+	r->totals_pending = 0;
+	if (n < 2 || top[1].cost_ms - top[0].cost_ms > TOTALS_COST_RANGE_MS)
 		return false;
 	for (uint32_t i = 0; i < n; i++) {
 		struct fg_fleet_ep *ep = top[i].ep;
 
-		if (top[i].cost_ms - top[0].cost_ms > ASK_RANGE_MS ||
+		if (top[i].cost_ms - top[0].cost_ms > TOTALS_COST_RANGE_MS ||
 		    ep->owner == 0 || ep->owner == gw->incarnation)
 			continue;
-		fg_mesh_ask_totals(gw, ep, (uint32_t)r->number);
-		fg_gw_count(gw, "totals_asked", NULL);
-		r->asked++;
+		fg_gw_mesh_request_totals(gw, ep, (uint32_t)r->local_id);
+		fg_gw_count_event(gw, "totals_asked", NULL);
+		r->totals_pending++;
 		if (strcmp(ep->region, gw->conf->region) != 0)
-			wait_ms = ASK_FAR_MS;
+			wait_ms = TOTALS_FAR_TIMEOUT_MS;
 	}
-	if (r->asked == 0)
+	if (r->totals_pending == 0)
 		return false;
-	fg_gwreq_wait(r, FG_GWREQ_WAIT_TOTALS, now + wait_ms);
+	fg_gwreq_enter_state(r, FG_GWREQ_WAIT_TOTALS, now + wait_ms);
 	return true;
 }
 
 void fg_gwreq_place(struct fg_gwreq *r)
 {
 	if (r->service->engine && r->adapter != 0 &&
-	    ask_totals(r, fg_clock_now()))
+	    request_totals(r, fg_clock_now()))
 		return;
-	choose(r);
+	choose_endpoint(r);
 }
 
-void fg_gwreq_totals(struct fg_gateway *gw, uint32_t number)
+void fg_gwreq_on_totals(struct fg_gateway *gw, uint32_t local_id)
 {
 	for (guint i = 0; i < gw->reqs->len; i++) {
 		struct fg_gwreq *r = gw->reqs->pdata[i];
 
-		if ((uint32_t)r->number != number ||
+		if ((uint32_t)r->local_id != local_id ||
 		    r->state != FG_GWREQ_WAIT_TOTALS)
 			continue;
-		if (--r->asked == 0)
-			choose(r);
+		if (--r->totals_pending == 0)
+			choose_endpoint(r);
 		return;
 	}
 }
 
-/* Waiting for a load: resident now, ask again, or give it up there. */
-static void step_load(struct fg_gwreq *r)
+/* While waiting for a load: sends the request when the adapter is resident,
+ * otherwise requests the load again or tries another endpoint. */
+static void check_load(struct fg_gwreq *r)
 {
 	fg_ms now = fg_clock_now();
 	const struct fg_ep_adapter *a = fg_ep_adapter_find(r->ep, r->adapter);
 
-	if (now - r->load_since > LOAD_WAIT_MS) {
-		fg_gwreq_refuse(r, "load_too_slow", RETRY_LOAD_MS);
+	if (now - r->load_wait_since > LOAD_WAIT_MAX_MS) {
+		fg_gwreq_refuse(r, "load_too_slow", LOAD_RETRY_AFTER_MS);
 		return;
 	}
 	if (!fg_ep_is_usable(r->ep, now)) {
-		fg_gwreq_note_tried(r);
+		fg_gwreq_mark_tried(r);
 		fg_gwreq_place(r);
 		return;
 	}
 	if (a != NULL && a->version != 0) {
-		send_now(r);
+		send_to_endpoint(r);
 		return;
 	}
-	switch (ask_load(r, now)) {
+	switch (request_load(r, now)) {
 	case FG_SLOT_RESIDENT:
-		send_now(r);
+		send_to_endpoint(r);
 		break;
 	case FG_SLOT_PENDING:
-		fg_gwreq_wait(r, FG_GWREQ_WAIT_LOAD, now + ASK_AGAIN_MS);
+		fg_gwreq_enter_state(r, FG_GWREQ_WAIT_LOAD,
+				     now + LOAD_REQUEST_REPEAT_MS);
 		break;
 	default:
-		fg_gwreq_note_tried(r);
+		fg_gwreq_mark_tried(r);
 		fg_gwreq_place(r);
 	}
 }
@@ -231,24 +238,24 @@
 	struct fg_gwreq *r = timer->data;
 	fg_ms now = fg_clock_now();
 
-	if (now >= r->end_at) {
+	if (now >= r->deadline) {
 		fg_gwreq_time_out(r);
-	} else if (now < r->step_at) {
-		fg_gwreq_arm(r);
+	} else if (now < r->due_at) {
+		fg_gwreq_arm_timer(r);
 	} else if (r->state == FG_GWREQ_WAIT_TOTALS) {
-		fg_gw_count(r->gw, "totals_late", NULL);
-		choose(r);
+		fg_gw_count_event(r->gw, "totals_late", NULL);
+		choose_endpoint(r);
 	} else if (r->state == FG_GWREQ_WAIT_LOAD) {
-		step_load(r);
+		check_load(r);
 	} else if (r->state == FG_GWREQ_WAIT_RETRY) {
 		r->n_tried = 0;
-		choose(r);
+		choose_endpoint(r);
 	} else {
-		fg_send_overdue(r, now);
+		fg_send_on_timeout(r, now);
 	}
 }
 
-void fg_gwreq_resident(struct fg_gateway *gw, struct fg_fleet_ep *ep)
+void fg_gwreq_on_resident(struct fg_gateway *gw, struct fg_fleet_ep *ep)
 {
 	for (guint i = gw->reqs->len; i > 0; i--) {
 		struct fg_gwreq *r;
@@ -261,12 +268,12 @@
 			continue;
 		a = fg_ep_adapter_find(ep, r->adapter);
 		if (a != NULL && a->version != 0)
-			send_now(r);
+			send_to_endpoint(r);
 	}
 }
 
-void fg_gwreq_no_load(struct fg_gateway *gw, struct fg_fleet_ep *ep,
-		      uint64_t adapter)
+void fg_gwreq_on_load_refused(struct fg_gateway *gw, struct fg_fleet_ep *ep,
+			      uint64_t adapter)
 {
 	for (guint i = gw->reqs->len; i > 0; i--) {
 		struct fg_gwreq *r;
@@ -277,7 +284,7 @@
 		if (r->state != FG_GWREQ_WAIT_LOAD || r->ep != ep ||
 		    r->adapter != adapter)
 			continue;
-		fg_gwreq_note_tried(r);
+		fg_gwreq_mark_tried(r);
 		fg_gwreq_place(r);
 	}
 }
--- a/lib/gateway/fg_gw_request.c
+++ b/lib/gateway/fg_gw_request.c
@@ -3,23 +3,23 @@
 
 #include <string.h>
 
-/* When a route or a caller gives no limit. */
+/* Time limit when neither the route nor the caller sets one. */
 #define DEFAULT_TIMEOUT_MS 30000
-/* A caller that is refused comes back after this; loads and short queues
- * change within it. */
+/* Shortest Retry-After; loads finish and short queues drain within it. */
 #define RETRY_MIN_MS 50
-/* Sends of one request, those that never ran included. */
+/* Sends of one request, including those that did not run. */
 #define SENDS_MAX 6
-/* Urgency 5 is the engines' default; routes rank around it. */
+/* Urgency of a route of priority 0. The engines' default is 5, which is that of
+ * priority 1. */
 #define URGENCY_BASE 4
 #define URGENCY_MAX 9
-/* The configuration counts as confirmed for this long after the last answer
- * of the store when calls to it fail. */
+/* While calls to the store fail, the configuration counts as current for this
+ * long after its last answer. */
 #define CONFIG_STALE_MS 3000
 
-uint32_t fg_gwreq_left_ms(const struct fg_gwreq *r, fg_ms now)
+uint32_t fg_gwreq_time_left_ms(const struct fg_gwreq *r, fg_ms now)
 {
-	return now >= r->end_at ? 0 : (uint32_t)(r->end_at - now);
+	return now >= r->deadline ? 0 : (uint32_t)(r->deadline - now);
 }
 
 uint32_t fg_gwreq_urgency(const struct fg_gwreq *r)
@@ -29,31 +29,31 @@
 
 /* ---- Log ---- */
 
-static const char *ms_text(char *buf, size_t size, fg_ms ms)
+static const char *format_ms(char *buf, size_t size, fg_ms ms)
 {
 	g_snprintf(buf, size, "%lld", (long long)ms);
 	return buf;
 }
 
-/* What the lines about a request have in common. */
-struct line_fields {
+/* Values that all log lines about a request carry. */
+struct log_fields {
 	char took[24];
 	char sent[24];
 	char first[24];
 	char sends[12];
 };
 
-static void fill_fields(const struct fg_gwreq *r, struct line_fields *f)
+static void fill_log_fields(const struct fg_gwreq *r, struct log_fields *f)
 {
-	ms_text(f->took, sizeof(f->took), fg_clock_now() - r->arrived);
-	ms_text(f->sent, sizeof(f->sent),
-		r->sent_at == 0 ? -1 : r->sent_at - r->arrived);
-	ms_text(f->first, sizeof(f->first),
-		r->first_at == 0 ? -1 : r->first_at - r->arrived);
+	format_ms(f->took, sizeof(f->took), fg_clock_now() - r->arrived_at);
+	format_ms(f->sent, sizeof(f->sent),
+		  r->sent_at == 0 ? -1 : r->sent_at - r->arrived_at);
+	format_ms(f->first, sizeof(f->first),
+		  r->first_at == 0 ? -1 : r->first_at - r->arrived_at);
 	g_snprintf(f->sends, sizeof(f->sends), "%u", r->sends);
 }
 
-#define LINE_FIELDS(r, f, reason)                                              \
+#define LOG_FIELDS(r, f, reason)                                               \
 	"id", (r)->call.id, "route",                                           \
 		(r)->route == NULL ? NULL : (r)->route->name, "reason",        \
 		reason, "took_ms", (f).took, "sent_ms", (f).sent, "first_ms",  \
@@ -64,81 +64,81 @@
 void fg_gwreq_log(const struct fg_gwreq *r, const char *event,
 		  const char *reason)
 {
-	struct line_fields f;
+	struct log_fields f;
 
 	if (!fg_log_enabled(FG_LOG_WARN))
 		return;
-	fill_fields(r, &f);
-	fg_log(FG_LOG_WARN, "request", event, LINE_FIELDS(r, f, reason));
+	fill_log_fields(r, &f);
+	fg_log(FG_LOG_WARN, "request", event, LOG_FIELDS(r, f, reason));
 }
 
 void fg_gwreq_log_routine(const struct fg_gwreq *r, const char *event,
 			  const char *reason)
 {
-	struct line_fields f;
+	struct log_fields f;
 
 	if (!fg_log_enabled(FG_LOG_INFO))
 		return;
-	fill_fields(r, &f);
-	fg_log_routine("request", event, LINE_FIELDS(r, f, reason));
+	fill_log_fields(r, &f);
+	fg_log_routine("request", event, LOG_FIELDS(r, f, reason));
 }
 
-/* ---- Where it runs ---- */
+/* ---- Assignment to an endpoint ---- */
 
-static void count_pending(struct fg_gwreq *r, int sign)
+static void adjust_pending(struct fg_gwreq *r, int sign)
 {
 	if (sign > 0) {
 		r->ep->pending_tokens += r->pending_tokens;
-		if (r->use != NULL)
-			r->use->pending_tokens += r->pending_tokens;
+		if (r->ep_adapter != NULL)
+			r->ep_adapter->pending_tokens += r->pending_tokens;
 		return;
 	}
 	g_assert(r->ep->pending_tokens >= r->pending_tokens);
 	r->ep->pending_tokens -= r->pending_tokens;
-	if (r->use != NULL)
-		r->use->pending_tokens -=
-			MIN(r->pending_tokens, r->use->pending_tokens);
+	if (r->ep_adapter != NULL)
+		r->ep_adapter->pending_tokens -=
+			MIN(r->pending_tokens, r->ep_adapter->pending_tokens);
 	r->pending_tokens = 0;
 }
 
-void fg_gwreq_no_longer_pending(struct fg_gwreq *r)
+void fg_gwreq_clear_pending(struct fg_gwreq *r)
 {
-	count_pending(r, -1);
+	adjust_pending(r, -1);
 }
 
-static void detach(struct fg_gwreq *r)
+static void detach_endpoint(struct fg_gwreq *r)
 {
 	if (r->ep == NULL)
 		return;
 	g_assert(r->ep->running > 0);
 	r->ep->running--;
-	count_pending(r, -1);
-	if (r->use != NULL && r->use->running > 0) {
-		r->use->running--;
-		fg_orders_used(r->gw, r->ep, r->use);
+	adjust_pending(r, -1);
+	if (r->ep_adapter != NULL && r->ep_adapter->running > 0) {
+		r->ep_adapter->running--;
+		fg_orders_note_use(r->gw, r->ep, r->ep_adapter);
 	}
-	r->use = NULL;
+	r->ep_adapter = NULL;
 	fg_ep_unref(r->ep);
 	r->ep = NULL;
 }
 
 void fg_gwreq_attach(struct fg_gwreq *r, struct fg_fleet_ep *ep)
 {
-	detach(r);
+	detach_endpoint(r);
 	r->ep = fg_ep_ref(ep);
 	ep->running++;
 	if (r->adapter != 0)
-		r->use = fg_ep_adapter_find_or_add(ep, fg_clock_now(),
-						   r->adapter);
+		r->ep_adapter = fg_ep_adapter_find_or_add(ep, fg_clock_now(),
+							  r->adapter);
 	r->pending_tokens = r->service->engine ? r->call.prompt_tokens : 0;
-	count_pending(r, 1);
-	if (r->use == NULL)
+	adjust_pending(r, 1);
+	if (r->ep_adapter == NULL)
 		return;
-	r->use->running++;
-	fg_orders_used(r->gw, ep, r->use);
+	r->ep_adapter->running++;
+	fg_orders_note_use(r->gw, ep, r->ep_adapter);
 }
 
-void fg_gwreq_note_tried(struct fg_gwreq *r)
+void fg_gwreq_mark_tried(struct fg_gwreq *r)
 {
 	if (r->ep == NULL)
 		return;
@@ -152,26 +152,27 @@
 
 /* ---- Timer ---- */
 
-void fg_gwreq_arm(struct fg_gwreq *r)
+void fg_gwreq_arm_timer(struct fg_gwreq *r)
 {
 	fg_ms now = fg_clock_now();
-	fg_ms at = MIN(r->end_at, r->step_at);
+	fg_ms at = MIN(r->deadline, r->due_at);
 
 	uv_update_time(&r->gw->loop);
 	uv_timer_start(r->timer, fg_gwreq_on_timer,
 		       at <= now ? 0 : (uint64_t)(at - now), 0);
 }
 
-void fg_gwreq_wait(struct fg_gwreq *r, enum fg_gwreq_state state, fg_ms step_at)
+void fg_gwreq_enter_state(struct fg_gwreq *r, enum fg_gwreq_state state,
+			  fg_ms due_at)
 {
 	r->state = state;
-	r->step_at = step_at;
-	fg_gwreq_arm(r);
+	r->due_at = due_at;
+	fg_gwreq_arm_timer(r);
 }
 
-/* ---- Ends ---- */
+/* ---- Final answers ---- */
 
-static const char *kind_of(const struct fg_gwreq *r)
+static const char *route_kind(const struct fg_gwreq *r)
 {
 	if (r->route == NULL)
 		return "none";
@@ -180,19 +181,19 @@
 	return r->route->idempotent ? "safe" : "unsafe";
 }
 
-void fg_gwreq_count(const struct fg_gwreq *r, const char *outcome,
-		    const char *reason)
+void fg_gwreq_count_outcome(const struct fg_gwreq *r, const char *outcome,
+			    const char *reason)
 {
 	char labels[96];
 
 	g_snprintf(labels, sizeof(labels), "kind=\"%s\",outcome=\"%s\"",
-		   kind_of(r), outcome);
-	fg_gw_count(r->gw, "requests", labels);
+		   route_kind(r), outcome);
+	fg_gw_count_event(r->gw, "requests", labels);
 	if (reason == NULL)
 		return;
 	g_snprintf(labels, sizeof(labels), "outcome=\"%s\",reason=\"%s\"",
 		   outcome, reason);
-	fg_gw_count(r->gw, "reasons", labels);
+	fg_gw_count_event(r->gw, "reasons", labels);
 }
 
 static void req_free(struct fg_gwreq *r)
@@ -200,8 +201,8 @@
 	fg_gw_timer_free(r->timer);
 	fg_call_clear(&r->call);
 	fg_events_clear(&r->events);
-	if (r->answer != NULL)
-		g_string_free(r->answer, TRUE);
+	if (r->answer_body != NULL)
+		g_string_free(r->answer_body, TRUE);
 	fg_routes_unref(r->routes);
 	g_free(r);
 }
@@ -212,7 +213,7 @@
 	struct fg_gwreq *moved;
 
 	fg_send_cancel(r);
-	detach(r);
+	detach_endpoint(r);
 	moved = gw->reqs->pdata[gw->reqs->len - 1];
 	gw->reqs->pdata[r->index] = moved;
 	moved->index = r->index;
@@ -220,20 +221,21 @@
 	req_free(r);
 }
 
-void fg_gwreq_end(struct fg_gwreq *r)
+void fg_gwreq_finish(struct fg_gwreq *r)
 {
 	struct fg_caller *c = r->caller;
 
-	fg_hist_add(r->gw->hist_whole, (uint64_t)(fg_clock_now() - r->arrived));
+	fg_hist_add(r->gw->hist_whole,
+		    (uint64_t)(fg_clock_now() - r->arrived_at));
 	req_remove(r);
 	if (c != NULL)
-		fg_caller_done(c);
+		fg_caller_finish_answer(c);
 }
 
 void fg_gwreq_cancel(struct fg_gwreq *r)
 {
 	fg_gwreq_log_routine(r, "caller_left", NULL);
-	fg_gwreq_count(r, "caller_left", NULL);
+	fg_gwreq_count_outcome(r, "caller_left", NULL);
 	r->caller = NULL;
 	req_remove(r);
 }
@@ -241,11 +243,11 @@
 void fg_gwreq_fail(struct fg_gwreq *r, unsigned int status, const char *reason)
 {
 	fg_gwreq_log(r, "failed", reason);
-	fg_gwreq_count(r, "failed", reason);
+	fg_gwreq_count_outcome(r, "failed", reason);
 	if (r->head_sent) {
 		struct fg_caller *c = r->caller;
 
-		/* The caller must not take the part for the whole. */
+		/* A reset tells the caller that the answer is incomplete. */
 		r->caller = NULL;
 		c->req = NULL;
 		req_remove(r);
@@ -253,84 +255,86 @@
 		return;
 	}
 	fg_caller_answer(r->caller, status, r->call.id, 0, NULL, "", 0);
-	fg_gwreq_end(r);
+	fg_gwreq_finish(r);
 }
 
 void fg_gwreq_refuse(struct fg_gwreq *r, const char *reason, uint32_t retry_ms)
 {
-	if (r->unsure || r->head_sent) {
+	if (r->may_have_run || r->head_sent) {
 		fg_gwreq_fail(r, HTTP_STATUS_BAD_GATEWAY, reason);
 		return;
 	}
 	fg_gwreq_log(r, "refused", reason);
-	fg_gwreq_count(r, "refused", reason);
+	fg_gwreq_count_outcome(r, "refused", reason);
 	fg_caller_answer(r->caller, HTTP_STATUS_SERVICE_UNAVAILABLE, r->call.id,
 			 CLAMP(retry_ms, RETRY_MIN_MS, FG_GWREQ_RETRY_MAX_MS),
 			 NULL, "", 0);
-	fg_gwreq_end(r);
+	fg_gwreq_finish(r);
 }
 
 void fg_gwreq_time_out(struct fg_gwreq *r)
 {
-	if (r->state == FG_GWREQ_SENT || r->unsure || r->head_sent)
+	if (r->state == FG_GWREQ_SENT || r->may_have_run || r->head_sent)
 		fg_gwreq_fail(r, HTTP_STATUS_GATEWAY_TIMEOUT, "time_limit");
 	else
 		fg_gwreq_refuse(r, "time_limit", RETRY_MIN_MS);
 }
 
-/* ---- After a send ---- */
+/* ---- Retries ---- */
 
-static bool may_repeat(const struct fg_gwreq *r)
+static bool may_run_again(const struct fg_gwreq *r)
 {
 	return r->route->idempotent || r->route->resumable;
 }
 
-/* Takes one repeat from the service's budget. */
-static bool take_budget(struct fg_gwreq *r, fg_ms now)
+/* Takes one retry from the service's budget; false when it is used up. */
+static bool take_retry_budget(struct fg_gwreq *r, fg_ms now)
 {
 	uint32_t backoff_ms;
-	bool ok = fg_retry_take(fg_gw_budget(r->gw, r->service->name), now,
-				FG_CLASS_STATUS, 1, UINT32_MAX, false,
+	bool ok = fg_retry_take(fg_gw_retry_budget(r->gw, r->service->name),
+				now, FG_CLASS_STATUS, 1, UINT32_MAX, false,
 				&backoff_ms);
 
-	fg_gw_count(r->gw, "repeats",
-		    ok ? "outcome=\"taken\"" : "outcome=\"no_budget\"");
+	fg_gw_count_event(r->gw, "repeats",
+			  ok ? "outcome=\"taken\"" : "outcome=\"no_budget\"");
 	return ok;
 }
 
 static bool may_send_again(struct fg_gwreq *r, enum fg_send_end end, fg_ms now)
 {
 	if (r->sends >= SENDS_MAX ||
-	    fg_gwreq_left_ms(r, now) < FG_GWREQ_LEFT_MIN_MS)
+	    fg_gwreq_time_left_ms(r, now) < FG_GWREQ_TIME_LEFT_MIN_MS)
 		return false;
 	if (end == FG_SEND_NOT_SENT)
 		return true;
 	if (end == FG_SEND_ERROR || end == FG_SEND_BROKEN) {
-		if (!may_repeat(r) || r->runs >= r->route->attempts_max)
+		if (!may_run_again(r) ||
+		    r->possible_runs >= r->route->attempts_max)
 			return false;
 	}
-	return take_budget(r, now);
+	return take_retry_budget(r, now);
 }
 
-void fg_gwreq_send_ended(struct fg_gwreq *r, enum fg_send_end end,
-			 const char *why)
+void fg_gwreq_on_send_end(struct fg_gwreq *r, enum fg_send_end end,
+			  const char *why)
 {
 	fg_ms now = fg_clock_now();
 
 	if (end == FG_SEND_BROKEN || end == FG_SEND_ERROR) {
-		r->runs++;
-		r->unsure = true;
+		r->possible_runs++;
+		r->may_have_run = true;
 	}
-	if (end == FG_SEND_BROKEN && !r->first_seen && r->ep != NULL)
-		fg_losses_add(&fg_ep_user_of(r->gw, r->ep)->losses, now,
+	if (end == FG_SEND_BROKEN && !r->answer_begun && r->ep != NULL)
+		fg_losses_add(&fg_ep_local_get(r->gw, r->ep)->losses, now,
 			      r->fingerprint,
-			      (r->gw->incarnation ^ r->number) << 8 | r->sends);
-	if (end == FG_SEND_ABSENT && r->use != NULL)
-		r->use->version = 0;
+			      (r->gw->incarnation ^ r->local_id) << 8 |
+				      r->sends);
+	if (end == FG_SEND_ABSENT && r->ep_adapter != NULL)
+		r->ep_adapter->version = 0;
 	fg_gwreq_log(r, "send_ended", why);
-	fg_gwreq_note_tried(r);
+	fg_gwreq_mark_tried(r);
 	if (end == FG_SEND_ABSENT)
-		r->n_tried = 0; /* a load there is as good as elsewhere */
+		r->n_tried = 0; /* the same endpoint can load the adapter */
 	if (may_send_again(r, end, now)) {
 		fg_events_drop_partial(&r->events);
 		fg_gwreq_place(r);
@@ -344,22 +348,24 @@
 
 /* ---- Start ---- */
 
-/* Streams that begin this long after a planned stop may not end before it. */
+/* Streams that start later than this into a planned stop are refused: they
+ * might not end in time. */
 #define STOP_ACCEPT_MS 2000
-/* Another instance serves the caller at once. */
+/* Retry-After during a planned stop; other instances can serve the caller at
+ * once. */
 #define STOP_RETRY_MS 50
 
-static bool too_late_to_start(const struct fg_gwreq *r)
+static bool is_too_late_to_start(const struct fg_gwreq *r)
 {
 	return r->gw->stopping && r->route->streaming &&
-	       r->arrived - r->gw->stopping_since > STOP_ACCEPT_MS;
+	       r->arrived_at - r->gw->stopping_since > STOP_ACCEPT_MS;
 }
 
-static bool config_is_stale(const struct fg_gateway *gw, fg_ms now)
+static bool is_config_stale(const struct fg_gateway *gw, fg_ms now)
 {
 	const struct fg_feed *f = &gw->feeds[FG_FEED_CONFIG];
 
-	return f->failures > 0 && now - f->confirmed > CONFIG_STALE_MS;
+	return f->failures > 0 && now - f->confirmed_at > CONFIG_STALE_MS;
 }
 
 static struct fg_gwreq *req_new(struct fg_caller *c)
@@ -370,10 +376,10 @@
 	r->gw = gw;
 	r->caller = c;
 	r->head = &c->h1.head;
-	r->arrived = fg_clock_now();
-	r->end_at = r->arrived + DEFAULT_TIMEOUT_MS;
-	r->step_at = FG_MS_NEVER;
-	r->number = ++gw->requests;
+	r->arrived_at = fg_clock_now();
+	r->deadline = r->arrived_at + DEFAULT_TIMEOUT_MS;
+	r->due_at = FG_MS_NEVER;
+	r->local_id = ++gw->n_requests;
 	r->timer = fg_gw_timer_new(gw, r);
 	fg_events_init(&r->events);
 	r->index = gw->reqs->len;
@@ -382,7 +388,7 @@
 	return r;
 }
 
-static uint64_t fingerprint_of(const struct fg_gwreq *r)
+static uint64_t request_fingerprint(const struct fg_gwreq *r)
 {
 	const struct fg_caller *c = r->caller;
 	uint64_t body = fg_hash_bytes(c->body->data, c->body->len);
@@ -390,8 +396,9 @@
 	return fg_hash_mix(fg_hash_str(fg_h1_target(r->head)), body);
 }
 
-/* Finds the route; false when the request was answered. */
-static bool find_route(struct fg_gwreq *r)
+/* Sets r->route. Returns false when there is none; the request is answered
+ * then. */
+static bool find_route_or_answer(struct fg_gwreq *r)
 {
 	struct fg_gateway *gw = r->gw;
 
@@ -405,7 +412,7 @@
 		fg_routes_find(r->routes, r->call.host, fg_h1_target(r->head));
 	if (r->route != NULL)
 		return true;
-	if (config_is_stale(gw, r->arrived)) {
+	if (is_config_stale(gw, r->arrived_at)) {
 		fg_gwreq_refuse(r, "configuration_stale",
 				FG_GWREQ_RETRY_MAX_MS / 2);
 		return false;
@@ -414,7 +421,7 @@
 	return false;
 }
 
-static void set_terms(struct fg_gwreq *r)
+static void set_service_and_limits(struct fg_gwreq *r)
 {
 	uint32_t limit_ms = r->route->timeout_ms;
 	uint32_t service =
@@ -425,7 +432,7 @@
 		limit_ms = DEFAULT_TIMEOUT_MS;
 	if (r->call.deadline_ms > 0)
 		limit_ms = MIN(limit_ms, r->call.deadline_ms);
-	r->end_at = r->arrived + limit_ms;
+	r->deadline = r->arrived_at + limit_ms;
 	if (r->service->engine && r->call.model != NULL)
 		r->adapter =
 			fg_adapter_key(r->call.model, fg_gwreq_adapter_name(r));
@@ -441,22 +448,23 @@
 		fg_gwreq_fail(r, HTTP_STATUS_BAD_REQUEST, "no_host");
 		return;
 	}
-	if (!find_route(r))
+	if (!find_route_or_answer(r))
 		return;
-	set_terms(r);
-	if (too_late_to_start(r)) {
+	set_service_and_limits(r);
+	if (is_too_late_to_start(r)) {
 		fg_gwreq_refuse(r, "stopping", STOP_RETRY_MS);
 		return;
 	}
-	r->fingerprint = fingerprint_of(r);
-	if (fg_suspects_check(gw->suspects, r->arrived, r->fingerprint,
+	r->fingerprint = request_fingerprint(r);
+	if (fg_suspects_check(gw->suspects, r->arrived_at, r->fingerprint,
 			      &retry_ms) == FG_SUSPECT_REFUSE) {
 		fg_gwreq_refuse(r, "crashes_endpoints", FG_GWREQ_RETRY_MAX_MS);
 		return;
 	}
 	if (r->adapter != 0)
-		fg_gw_heat(gw, r->arrived, r->adapter, r->call.prompt_tokens);
-	fg_retry_count_first(fg_gw_budget(gw, r->service->name), r->arrived,
-			     FG_CLASS_STATUS);
+		fg_gw_update_token_rate(gw, r->arrived_at, r->adapter,
+					r->call.prompt_tokens);
+	fg_retry_count_first(fg_gw_retry_budget(gw, r->service->name),
+			     r->arrived_at, FG_CLASS_STATUS);
 	fg_gwreq_place(r);
 }
--- a/lib/gateway/fg_gw_rows.c
+++ b/lib/gateway/fg_gw_rows.c
@@ -1,16 +1,16 @@
-/* What the rows of the store's tables mean here. */
+/* Decoding and applying rows of the store's tables. */
 #include "gateway/fg_gateway_internal.h"
 
 #include <string.h>
 
-static void log_row(const char *event, const struct fg_store_row *row,
-		    const GError *why)
+static void log_refused_row(const char *event, const struct fg_store_row *row,
+			    const GError *why)
 {
 	fg_log(FG_LOG_WARN, "sync", event, "table", row->table, "key", row->key,
 	       "reason", why == NULL ? NULL : why->message, NULL);
 }
 
-static void take_config(struct fg_gateway *gw, const struct fg_store_row *row)
+static void apply_config(struct fg_gateway *gw, const struct fg_store_row *row)
 {
 	GError *why = NULL;
 	struct fg_routes *t =
@@ -18,7 +18,7 @@
 	char version[24];
 
 	if (t == NULL) {
-		log_row("configuration_refused", row, why);
+		log_refused_row("configuration_refused", row, why);
 		g_error_free(why);
 		return;
 	}
@@ -31,63 +31,65 @@
 	fg_log(FG_LOG_INFO, "sync", "configuration", "version", version, NULL);
 	fg_routes_unref(gw->routes);
 	gw->routes = t;
-	fg_gw_count(gw, "configurations", NULL);
+	fg_gw_count_event(gw, "configurations", NULL);
 }
 
-static void take_announcement(struct fg_gateway *gw,
-			      const struct fg_store_row *row, fg_ms now)
+static void apply_announcement(struct fg_gateway *gw,
+			       const struct fg_store_row *row, fg_ms now)
 {
 	struct fg_announcement a;
-	struct fg_wanted_version *w;
+	struct fg_announced_version *announced;
 	GError *why = NULL;
 	uint64_t key;
 	char version[24];
 
 	if (!gw->wire->announcement_read(row->value, row->value_bytes, &a,
 					 &why)) {
-		log_row("announcement_refused", row, why);
+		log_refused_row("announcement_refused", row, why);
 		g_error_free(why);
 		return;
 	}
 	if (a.adapter == NULL) {
 		fg_announcement_clear(&a);
-		return; /* of a base model: loads fetch the newest */
+		return; /* a base model: loads fetch its newest version */
 	}
 	key = fg_adapter_key(a.model, a.adapter);
-	w = g_hash_table_lookup(gw->versions, &key);
-	if (w == NULL) {
-		w = g_new0(struct fg_wanted_version, 1);
-		w->key = key;
-		g_hash_table_insert(gw->versions, &w->key, w);
+	announced = g_hash_table_lookup(gw->announced_versions, &key);
+	if (announced == NULL) {
+		announced = g_new0(struct fg_announced_version, 1);
+		announced->key = key;
+		g_hash_table_insert(gw->announced_versions, &announced->key,
+				    announced);
 	}
-	if (a.version > w->version) {
-		w->version = a.version;
-		w->since = now;
+	if (a.version > announced->version) {
+		announced->version = a.version;
+		announced->announced_at = now;
 		g_snprintf(version, sizeof(version), "%llu",
 			   (unsigned long long)a.version);
 		fg_log(FG_LOG_INFO, "sync", "version_announced", "adapter",
 		       a.adapter, "version", version, NULL);
-		fg_orders_announced(gw, key, a.version);
+		fg_orders_on_announcement(gw, key, a.version);
 	}
 	fg_announcement_clear(&a);
 }
 
-static void take_config_row(struct fg_gateway *gw,
-			    const struct fg_store_row *row, fg_ms now)
+static void apply_config_row(struct fg_gateway *gw,
+			     const struct fg_store_row *row, fg_ms now)
 {
-	gw->config_behind = 0;
+	gw->config_behind_since = 0;
 	if (row->removed || row->value == NULL)
 		return;
 	if (gw->wire->is_config(row->key))
-		take_config(gw, row);
+		apply_config(gw, row);
 	else if (gw->wire->is_announcement(row->key))
-		take_announcement(gw, row, now);
+		apply_announcement(gw, row, now);
 }
 
-/* What the endpoint itself lists counts while no owner tells. */
+/* The adapters that a registry entry lists are used only when the endpoint's
+ * owner has not reported them for this long. */
 #define RESIDENT_FRESH_MS 3000
 
-static void take_listed(struct fg_fleet_ep *ep, fg_ms now)
+static void apply_listed_resident(struct fg_fleet_ep *ep, fg_ms now)
 {
 	struct fg_fleet_held held[FG_FLEET_RESIDENT_MAX];
 	uint32_t n = 0;
@@ -103,9 +105,10 @@
 	fg_ep_set_resident(ep, now, held, n);
 }
 
-/* Does the entry only tell of other adapters than before? */
-static bool same_but_resident(const struct fg_fleet_ep *ep,
-			      const struct fg_ep_facts *facts)
+/* Does the new entry differ from the known one in nothing but its list of
+ * adapters? */
+static bool differs_in_resident_only(const struct fg_fleet_ep *ep,
+				     const struct fg_ep_facts *facts)
 {
 	const struct fg_ep_facts *old = &ep->facts;
 
@@ -115,8 +118,8 @@
 	       old->draining == facts->draining && old->born == facts->born;
 }
 
-static bool take_entry_row(struct fg_gateway *gw,
-			   const struct fg_store_row *row, fg_ms now)
+static bool apply_entry_row(struct fg_gateway *gw,
+			    const struct fg_store_row *row, fg_ms now)
 {
 	struct fg_ep_facts facts;
 	GError *why = NULL;
@@ -128,13 +131,13 @@
 		fg_fleet_remove(gw->fleet, now, row->key);
 	} else if (!gw->wire->entry_read(row->key, row->value, row->value_bytes,
 					 &facts, &why)) {
-		log_row("entry_refused", row, why);
+		log_refused_row("entry_refused", row, why);
 		g_error_free(why);
 		fg_fleet_remove(gw->fleet, now, row->key);
 	} else {
-		matters = ep == NULL || !same_but_resident(ep, &facts);
+		matters = ep == NULL || !differs_in_resident_only(ep, &facts);
 		ep = fg_fleet_put(gw->fleet, now, &facts);
-		take_listed(ep, now);
+		apply_listed_resident(ep, now);
 	}
 	if (ep == NULL || was_usable == fg_ep_is_usable(ep, now))
 		return matters;
@@ -144,8 +147,8 @@
 	return matters;
 }
 
-static void take_own_row(struct fg_gateway *gw, const struct fg_store_row *row,
-			 fg_ms now)
+static void apply_own_row(struct fg_gateway *gw, const struct fg_store_row *row,
+			  fg_ms now)
 {
 	struct fg_peer_row peer;
 
@@ -164,20 +167,20 @@
 				  row->value, &peer))
 		fg_peers_put(gw->peers, now, &peer);
 	else
-		log_row("instance_row_refused", row, NULL);
+		log_refused_row("instance_row_refused", row, NULL);
 }
 
-bool fg_sync_take_row(struct fg_feed *f, const struct fg_store_row *row,
-		      fg_ms now)
+bool fg_sync_apply_row(struct fg_feed *f, const struct fg_store_row *row,
+		       fg_ms now)
 {
 	switch (f->id) {
 	case FG_FEED_CONFIG:
-		take_config_row(f->gw, row, now);
+		apply_config_row(f->gw, row, now);
 		return true;
 	case FG_FEED_REGISTRY:
-		return take_entry_row(f->gw, row, now);
+		return apply_entry_row(f->gw, row, now);
 	default:
-		take_own_row(f->gw, row, now);
+		apply_own_row(f->gw, row, now);
 		return true;
 	}
 }
--- a/lib/gateway/fg_gwconf.c
+++ b/lib/gateway/fg_gwconf.c
@@ -14,9 +14,9 @@
 	return g_quark_from_static_string("fg-gwconf-error");
 }
 
-/* The file as libcyaml fills it; scalars as texts, so that the checks see
- * them as written. */
-struct raw {
+/* The file as libcyaml fills it. Scalars stay text, so that error messages can
+ * show them as written. */
+struct raw_settings {
 	char *name, *region, *dc;
 	char *front, *ready, *directory, *mesh, *metrics, *store;
 	char *log_level;
@@ -27,11 +27,11 @@
 };
 
 #define TEXT(key)                                                              \
-	CYAML_FIELD_STRING_PTR(#key, CYAML_FLAG_POINTER, struct raw, key, 0,   \
-			       CYAML_UNLIMITED)
+	CYAML_FIELD_STRING_PTR(#key, CYAML_FLAG_POINTER, struct raw_settings,  \
+			       key, 0, CYAML_UNLIMITED)
 #define TEXT_OPT(key)                                                          \
 	CYAML_FIELD_STRING_PTR(#key, CYAML_FLAG_POINTER | CYAML_FLAG_OPTIONAL, \
-			       struct raw, key, 0, CYAML_UNLIMITED)
+			       struct raw_settings, key, 0, CYAML_UNLIMITED)
 
 static const cyaml_schema_field_t dc_fields[] = {
 	CYAML_FIELD_STRING_PTR("name", CYAML_FLAG_POINTER, struct fg_gwconf_dc,
@@ -63,17 +63,18 @@
 	TEXT_OPT(version_ms),
 	TEXT_OPT(drain_ms),
 	TEXT_OPT(connections_max),
-	CYAML_FIELD_SEQUENCE("data_centres", CYAML_FLAG_POINTER, struct raw,
-			     dcs, &dc_schema, 0, DCS_MAX),
+	CYAML_FIELD_SEQUENCE("data_centres", CYAML_FLAG_POINTER,
+			     struct raw_settings, dcs, &dc_schema, 0, DCS_MAX),
 	CYAML_FIELD_END,
 };
 
 static const cyaml_schema_value_t raw_schema = {
-	CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, struct raw, raw_fields),
+	CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, struct raw_settings,
+			    raw_fields),
 };
 
-static void quiet_log(cyaml_log_t level, void *ctx, const char *fmt,
-		      va_list args)
+static void capture_first_error(cyaml_log_t level, void *ctx, const char *fmt,
+				va_list args)
 {
 	GString *text = ctx;
 
@@ -83,15 +84,16 @@
 
 /* ---- Checks ---- */
 
-static void fault(GString *faults, const char *path, const char *key,
-		  const char *found, const char *allowed)
+static void add_error(GString *errors, const char *path, const char *key,
+		      const char *found, const char *allowed)
 {
-	g_string_append_printf(faults, "%s: %s: found \"%s\", allowed: %s\n",
+	g_string_append_printf(errors, "%s: %s: found \"%s\", allowed: %s\n",
 			       path, key, found == NULL ? "" : found, allowed);
 }
 
-/* A number of at most `max`, multiplied by `scale`; `fallback` when absent. */
-static uint32_t check_number(GString *faults, const char *path, const char *key,
+/* Reads a number from 0 to `max` and multiplies it by `scale`. Returns
+ * `fallback` when `text` is absent or bad. */
+static uint32_t check_number(GString *errors, const char *path, const char *key,
 			     const char *text, double scale, double max,
 			     uint32_t fallback)
 {
@@ -104,41 +106,41 @@
 	if (*end != '\0' || !(value >= 0 && value <= max)) {
 		char *allowed = g_strdup_printf("a number from 0 to %g", max);
 
-		fault(faults, path, key, text, allowed);
+		add_error(errors, path, key, text, allowed);
 		g_free(allowed);
 		return fallback;
 	}
 	return (uint32_t)(value * scale + 0.5);
 }
 
-static char *check_address(GString *faults, const char *path, const char *key,
+static char *check_address(GString *errors, const char *path, const char *key,
 			   const char *text)
 {
 	struct sockaddr_in addr;
 
 	if (text == NULL || !fg_link_parse(text, &addr))
-		fault(faults, path, key, text, "IP:PORT");
+		add_error(errors, path, key, text, "IP:PORT");
 	return g_strdup(text);
 }
 
-static char *check_name(GString *faults, const char *path, const char *key,
+static char *check_name(GString *errors, const char *path, const char *key,
 			const char *text)
 {
 	if (text == NULL || text[0] == '\0' || strpbrk(text, " \t\n") != NULL)
-		fault(faults, path, key, text, "a word without spaces");
+		add_error(errors, path, key, text, "a word without spaces");
 	return g_strdup(text);
 }
 
-static void check_log_level(GString *faults, const char *path, const char *text,
+static void check_log_level(GString *errors, const char *path, const char *text,
 			    enum fg_log_level *out)
 {
 	*out = FG_LOG_INFO;
 	if (text != NULL && !fg_log_level_parse(text, out))
-		fault(faults, path, "log_level", text,
-		      "error, warn, info or debug");
+		add_error(errors, path, "log_level", text,
+			  "error, warn, info or debug");
 }
 
-static void check_dcs(const struct raw *raw, struct fg_gwconf *c)
+static void check_dcs(const struct raw_settings *raw, struct fg_gwconf *c)
 {
 	c->dcs = g_new0(struct fg_gwconf_dc, raw->dcs_count);
 	c->n_dcs = raw->dcs_count;
@@ -148,53 +150,53 @@
 	}
 }
 
-static void check_numbers(GString *faults, const char *path,
-			  const struct raw *raw, struct fg_gwconf *c)
+static void check_numbers(GString *errors, const char *path,
+			  const struct raw_settings *raw, struct fg_gwconf *c)
 {
-	c->retry_percent = check_number(faults, path, "retry_ratio",
+	c->retry_percent = check_number(errors, path, "retry_ratio",
 					raw->retry_ratio, 100, 1, 20);
-	c->retry_slack = check_number(faults, path, "retry_slack",
+	c->retry_slack = check_number(errors, path, "retry_slack",
 				      raw->retry_slack, 1, 100000, 10);
-	c->stop_grace_ms = check_number(faults, path, "stop_grace_s",
+	c->stop_grace_ms = check_number(errors, path, "stop_grace_s",
 					raw->stop_grace_s, 1000, 3600, 8000);
-	c->lookup_ttl_s = check_number(faults, path, "lookup_ttl_s",
+	c->lookup_ttl_s = check_number(errors, path, "lookup_ttl_s",
 				       raw->lookup_ttl_s, 1, 3600, 2);
-	c->version_ms = check_number(faults, path, "version_ms",
+	c->version_ms = check_number(errors, path, "version_ms",
 				     raw->version_ms, 1, 3600000, 5000);
-	c->drain_ms = check_number(faults, path, "drain_ms", raw->drain_ms, 1,
+	c->drain_ms = check_number(errors, path, "drain_ms", raw->drain_ms, 1,
 				   3600000, 2500);
 	c->connections_max =
-		check_number(faults, path, "connections_max",
+		check_number(errors, path, "connections_max",
 			     raw->connections_max, 1, 100000, 1024);
 }
 
-static struct fg_gwconf *check(const struct raw *raw, const char *path,
-			       GError **error)
+static struct fg_gwconf *check_settings(const struct raw_settings *raw,
+					const char *path, GError **error)
 {
 	struct fg_gwconf *c = g_new0(struct fg_gwconf, 1);
-	GString *faults = g_string_new(NULL);
+	GString *errors = g_string_new(NULL);
 
-	c->name = check_name(faults, path, "name", raw->name);
-	c->region = check_name(faults, path, "region", raw->region);
-	c->dc = check_name(faults, path, "dc", raw->dc);
-	c->front = check_address(faults, path, "front", raw->front);
-	c->ready = check_address(faults, path, "ready", raw->ready);
-	c->directory = check_address(faults, path, "directory", raw->directory);
-	c->mesh = check_address(faults, path, "mesh", raw->mesh);
-	c->store = check_address(faults, path, "store", raw->store);
+	c->name = check_name(errors, path, "name", raw->name);
+	c->region = check_name(errors, path, "region", raw->region);
+	c->dc = check_name(errors, path, "dc", raw->dc);
+	c->front = check_address(errors, path, "front", raw->front);
+	c->ready = check_address(errors, path, "ready", raw->ready);
+	c->directory = check_address(errors, path, "directory", raw->directory);
+	c->mesh = check_address(errors, path, "mesh", raw->mesh);
+	c->store = check_address(errors, path, "store", raw->store);
 	if (raw->metrics != NULL)
 		c->metrics =
-			check_address(faults, path, "metrics", raw->metrics);
-	check_log_level(faults, path, raw->log_level, &c->log_level);
-	check_numbers(faults, path, raw, c);
+			check_address(errors, path, "metrics", raw->metrics);
+	check_log_level(errors, path, raw->log_level, &c->log_level);
+	check_numbers(errors, path, raw, c);
 	check_dcs(raw, c);
-	if (faults->len > 0) {
+	if (errors->len > 0) {
 		g_set_error(error, FG_GWCONF_ERROR, FG_GWCONF_ERR_INVALID, "%s",
-			    faults->str);
+			    errors->str);
 		fg_gwconf_free(c);
 		c = NULL;
 	}
-	g_string_free(faults, TRUE);
+	g_string_free(errors, TRUE);
 	return c;
 }
 
@@ -203,12 +205,12 @@
 {
 	GString *why = g_string_new(NULL);
 	cyaml_config_t config = {
-		.log_fn = quiet_log,
+		.log_fn = capture_first_error,
 		.log_ctx = why,
 		.mem_fn = cyaml_mem,
 		.log_level = CYAML_LOG_ERROR,
 	};
-	struct raw *raw = NULL;
+	struct raw_settings *raw = NULL;
 	struct fg_gwconf *c = NULL;
 	cyaml_err_t rc =
 		cyaml_load_data((const uint8_t *)text, strlen(text), &config,
@@ -218,7 +220,7 @@
 		g_set_error(error, FG_GWCONF_ERROR, FG_GWCONF_ERR_SYNTAX,
 			    "%s: %s: %s", path, cyaml_strerror(rc), why->str);
 	else
-		c = check(raw, path, error);
+		c = check_settings(raw, path, error);
 	cyaml_free(&config, &raw_schema, raw, 0);
 	g_string_free(why, TRUE);
 	return c;
--- a/lib/gateway/fg_gwconf.h
+++ b/lib/gateway/fg_gwconf.h
@@ -1,9 +1,9 @@
 /*
  * fg_gwconf - settings of one gateway process, read from a YAML file.
  *
- * The file is checked as a whole; fg_gwconf_parse() returns settings in which
- * every value is in its range, or an error that names the key, what was found
- * and what is allowed. Unknown keys are refused.
+ * Either every value is in its range or the file is refused. The error then has
+ * a line for each bad value, with the key, the value found and the values
+ * allowed. Unknown keys are refused.
  */
 #ifndef FG_GWCONF_H
 #define FG_GWCONF_H
@@ -41,21 +41,25 @@
 	enum fg_log_level log_level;
 	struct fg_gwconf_dc *dcs;
 	unsigned int n_dcs;
-	uint32_t retry_percent; /* repeats per 100 requests of a service */
-	uint32_t retry_slack;	/* ... and so many more in a window */
+	uint32_t retry_percent; /* retries per 100 requests of a service */
+	uint32_t retry_slack;	/* retries in 10 s in addition to these */
 	uint32_t stop_grace_ms; /* from the stop signal to the kill */
-	uint32_t lookup_ttl_s;	/* callers keep an address so long */
-	uint32_t version_ms;	/* an announced version is in use by then */
-	uint32_t drain_ms; /* a leaving endpoint gets no request after that */
-	uint32_t connections_max; /* from callers */
+	uint32_t lookup_ttl_s;	/* lifetime of a looked-up address */
+	uint32_t version_ms; /* from an announcement until it must be in use */
+	uint32_t drain_ms; /* from a leaving notice until no request is sent */
+	uint32_t connections_max; /* open ones from callers, at most */
 };
 
+/* Read settings from a file, or from `text` with `path` as its name in errors.
+ * Return NULL and set *error when the file cannot be read or is refused. The
+ * caller frees the settings with fg_gwconf_free(). */
 struct fg_gwconf *fg_gwconf_load(const char *path, GError **error);
 struct fg_gwconf *fg_gwconf_parse(const char *path, const char *text,
 				  GError **error);
 void fg_gwconf_free(struct fg_gwconf *c);
 
-/* Region of a data centre; its own name when the settings do not say. */
+/* Region of a data centre; `dc` itself when the settings do not list it. The
+ * string belongs to the settings or to the caller. */
 const char *fg_gwconf_region(const struct fg_gwconf *c, const char *dc);
 
 #endif
