--- a/lib/relay/fg_relay.c
+++ b/lib/relay/fg_relay.c
@@ -60,9 +60,9 @@
 	g_hash_table_replace(r->rows, copy->key, copy);
 }
 
-/* ---- Answers ---- */
+/* ---- Encoding ---- */
 
-static gint by_version(gconstpointer a, gconstpointer b)
+static gint compare_versions(gconstpointer a, gconstpointer b)
 {
 	const fg_mesh_row *x = a;
 	const fg_mesh_row *y = b;
@@ -70,14 +70,14 @@
 	return x->ver < y->ver ? -1 : x->ver > y->ver;
 }
 
-static GArray *rows_after(const struct fg_relay *r, uint64_t after)
+static GArray *list_rows_after(const struct fg_relay *r, uint64_t after)
 {
 	GArray *out = g_array_new(FALSE, TRUE, sizeof(fg_mesh_row));
-	GHashTableIter it;
+	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&it, r->rows);
-	while (g_hash_table_iter_next(&it, NULL, &value)) {
+	g_hash_table_iter_init(&iter, r->rows);
+	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct fg_store_row *row = value;
 		fg_mesh_row m = {
 			.key = row->key,
@@ -91,37 +91,38 @@
 		m.value.value_len = (u_int)row->value_bytes;
 		g_array_append_val(out, m);
 	}
-	g_array_sort(out, by_version);
+	g_array_sort(out, compare_versions);
 	return out;
 }
 
-bool fg_relay_encode(const struct fg_relay *r, uint64_t after, uint64_t read,
-		     GString *out)
+bool fg_relay_encode(const struct fg_relay *r, uint64_t after,
+		     uint64_t read_version, GString *out)
 {
 	GArray *rows;
-	fg_mesh_rows m = { .read = read };
+	fg_mesh_rows m = { .read = read_version };
 	XDR xdr;
-	gsize at = out->len;
+	gsize old_len = out->len;
 	gsize size;
 	bool ok;
 
 	if (after < r->floor)
 		return false;
-	rows = rows_after(r, after);
+	rows = list_rows_after(r, after);
 	m.rows.rows_len = rows->len;
 	m.rows.rows_val = (fg_mesh_row *)(void *)rows->data;
 	size = xdr_sizeof((xdrproc_t)xdr_fg_mesh_rows, &m);
-	g_string_set_size(out, at + size);
-	xdrmem_create(&xdr, out->str + at, (u_int)size, XDR_ENCODE);
+	g_string_set_size(out, old_len + size);
+	xdrmem_create(&xdr, out->str + old_len, (u_int)size, XDR_ENCODE);
 	ok = xdr_fg_mesh_rows(&xdr, &m);
 	xdr_destroy(&xdr);
 	g_array_unref(rows);
 	if (!ok)
-		g_string_set_size(out, at);
+		g_string_set_size(out, old_len);
 	return ok;
 }
 
-static struct fg_store_row *row_of(const char *table, const fg_mesh_row *m)
+static struct fg_store_row *row_from_mesh(const char *table,
+					  const fg_mesh_row *m)
 {
 	struct fg_store_row *row = g_new0(struct fg_store_row, 1);
 
@@ -153,8 +154,9 @@
 		out->rows = g_ptr_array_new_with_free_func(fg_store_row_free);
 		out->version = m.read;
 		for (u_int i = 0; i < m.rows.rows_len; i++)
-			g_ptr_array_add(out->rows,
-					row_of(table, &m.rows.rows_val[i]));
+			g_ptr_array_add(
+				out->rows,
+				row_from_mesh(table, &m.rows.rows_val[i]));
 	}
 	xdr_free((xdrproc_t)xdr_fg_mesh_rows, (char *)&m);
 	return ok;
