--- a/lib/route/fg_route.c
+++ b/lib/route/fg_route.c
@@ -81,8 +81,8 @@
 	return -1;
 }
 
-static const char *route_fault(const struct fg_routes *t,
-			       const struct fg_route *r)
+static const char *find_route_error(const struct fg_routes *t,
+				    const struct fg_route *r)
 {
 	uint64_t total = 0;
 
@@ -100,8 +100,9 @@
 	return total == 0 ? "a route whose weights are all zero" : NULL;
 }
 
-/* Longest prefix first, so that the first match is the longest. */
-static gint by_prefix_length(gconstpointer a, gconstpointer b)
+/* Orders routes by descending prefix length, so that the first match is the
+ * longest. */
+static gint compare_prefix_lengths(gconstpointer a, gconstpointer b)
 {
 	const struct fg_route *ra = *(struct fg_route *const *)a;
 	const struct fg_route *rb = *(struct fg_route *const *)b;
@@ -118,30 +119,30 @@
 
 	for (guint i = 0; i < t->routes->len; i++) {
 		struct fg_route *r = t->routes->pdata[i];
-		GPtrArray *of_host;
+		GPtrArray *host_routes;
 		char *host;
 
-		*why = route_fault(t, r);
+		*why = find_route_error(t, r);
 		if (*why != NULL)
 			return false;
 		host = g_ascii_strdown(r->host, -1);
-		of_host = g_hash_table_lookup(t->by_host, host);
-		if (of_host == NULL) {
-			of_host = g_ptr_array_new();
+		host_routes = g_hash_table_lookup(t->by_host, host);
+		if (host_routes == NULL) {
+			host_routes = g_ptr_array_new();
 			g_hash_table_insert(t->by_host, g_strdup(host),
-					    of_host);
+					    host_routes);
 		}
 		g_free(host);
-		g_ptr_array_add(of_host, r);
+		g_ptr_array_add(host_routes, r);
 	}
 	g_hash_table_iter_init(&it, t->by_host);
 	while (g_hash_table_iter_next(&it, NULL, &list))
-		g_ptr_array_sort(list, by_prefix_length);
+		g_ptr_array_sort(list, compare_prefix_lengths);
 	return true;
 }
 
-/* The path of a target in origin or absolute form. */
-static const char *path_of(const char *target)
+/* Returns the path of a request target in origin or absolute form. */
+static const char *target_path(const char *target)
 {
 	const char *scheme = strstr(target, "://");
 	const char *slash;
@@ -155,14 +156,14 @@
 const struct fg_route *fg_routes_find(const struct fg_routes *t,
 				      const char *host, const char *target)
 {
-	const char *path = path_of(target);
+	const char *path = target_path(target);
 	const char *colon = strrchr(host, ':');
 	char *key = g_ascii_strdown(host, colon == NULL ? -1 : colon - host);
-	GPtrArray *of_host = g_hash_table_lookup(t->by_host, key);
+	GPtrArray *host_routes = g_hash_table_lookup(t->by_host, key);
 
 	g_free(key);
-	for (guint i = 0; of_host != NULL && i < of_host->len; i++) {
-		const struct fg_route *r = of_host->pdata[i];
+	for (guint i = 0; host_routes != NULL && i < host_routes->len; i++) {
+		const struct fg_route *r = host_routes->pdata[i];
 		size_t len = strlen(r->prefix);
 
 		if (strncmp(path, r->prefix, len) == 0 &&
--- a/lib/route/fg_route.h
+++ b/lib/route/fg_route.h
@@ -1,11 +1,13 @@
 /*
- * fg_route - which service serves a request, and on what terms.
+ * fg_route - routing table: which service serves a request, and under which
+ * limits.
  *
- * A table of routes is built once from a configuration, sealed, and then only
- * read; requests hold a reference to the table that decided them. A route is
- * found by host and by the longest prefix that begins the path.
+ * A table is built once from a configuration, sealed, and then only read. It is
+ * reference-counted, so that a request keeps the table that it was routed by
+ * after a newer one is in force. A route matches a request by host and by path
+ * prefix; the longest prefix wins.
  *
- * Pure: no I/O, no clock.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 #ifndef FG_ROUTE_H
 #define FG_ROUTE_H
@@ -14,19 +16,21 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* A model and how many adapters it has at most. */
+/* A model that the engines of a service run. */
 struct fg_svc_model {
 	char *name;
 	uint32_t adapters_max;
 };
 
+/* A service. Strings and arrays belong to the table; the reader of the
+ * configuration allocates them with GLib. */
 struct fg_svc {
 	char *name;
 	char *health_path;
-	uint32_t connections_max;    /* an endpoint accepts, from all callers */
-	bool engine;		     /* runs models; the fields below are set */
-	uint32_t slots;		     /* requests an endpoint runs at once */
-	uint32_t kv_capacity_tokens; /* of an endpoint, for running requests */
+	uint32_t connections_max; /* of an endpoint, from all callers */
+	bool engine;		  /* runs models; else the fields below are 0 */
+	uint32_t slots;		  /* concurrent requests of an endpoint */
+	uint32_t kv_capacity_tokens; /* KV cache of an endpoint */
 	uint32_t adapter_slots;
 	struct fg_svc_model *models;
 	uint32_t n_models;
@@ -42,19 +46,19 @@
 	char *name;
 	char *host;
 	char *prefix;
-	bool idempotent; /* may run more than once */
+	bool idempotent; /* a request may run more than once */
 	bool streaming;
-	bool resumable; /* a stream may go on at another endpoint */
+	bool resumable; /* another endpoint may continue a stream */
 	uint32_t timeout_ms;
-	uint32_t target_latency_ms; /* answered within this, it has its full
-				       worth */
+	uint32_t target_latency_ms; /* an answer within it has its full value */
 	uint32_t priority;	    /* 0 is the most urgent */
 	uint32_t attempts_max;
 	struct fg_route_share *shares;
 	uint32_t n_shares;
 };
 
-/* What callers may send, and how slowly. 0 stands for no limit. */
+/* Limits on what callers send and on how slowly they send it. 0 stands for the
+ * gateway's default size, or for no time limit. */
 struct fg_caller_limits {
 	uint32_t head_max_bytes;
 	uint64_t body_max_bytes;
@@ -71,31 +75,34 @@
 	int refs;
 };
 
+/* Creates an empty table with one reference; fg_routes_unref() frees it with
+ * the last one and accepts NULL. */
 struct fg_routes *fg_routes_new(uint64_t version);
 struct fg_routes *fg_routes_ref(struct fg_routes *t);
 void fg_routes_unref(struct fg_routes *t);
 
-/* Return a zeroed entry that belongs to the table. */
+/* Add a zeroed entry, which belongs to the table, and return it for the caller
+ * to fill in before fg_routes_seal(). */
 struct fg_svc *fg_routes_add_service(struct fg_routes *t);
 struct fg_route *fg_routes_add_route(struct fg_routes *t);
 
-/* Index of a service by name; -1 when unknown. */
+/* Returns the index in t->services of the service with this name, or -1. */
 int fg_routes_find_service(const struct fg_routes *t, const char *name);
 
 /*
- * Ends building: checks the table and makes it ready for look-ups. False with
- * the reason in *why (static text) when a route has no host, no prefix or no
- * service to go to.
+ * Checks a table that is complete and prepares it for fg_routes_find(). Returns
+ * false and sets *why to a static text when a route has no host, no prefix or
+ * no service that can get requests.
  */
 bool fg_routes_seal(struct fg_routes *t, const char **why);
 
-/* The route of `host` (a port is ignored) and a request target; NULL when
- * none matches. */
+/* Returns the route for a host, whose port is ignored, and a request target in
+ * origin or absolute form; NULL when none matches. */
 const struct fg_route *fg_routes_find(const struct fg_routes *t,
 				      const char *host, const char *target);
 
-/* The service for one request: `draw` is any number, the same one chooses the
- * same share. */
+/* Chooses a service by weight and returns its index in t->services. `draw` is a
+ * random number; equal numbers choose equal shares. */
 uint32_t fg_route_choose_service(const struct fg_route *r, uint64_t draw);
 
 #endif
