--- a/lib/balance/fg_balance.c
+++ b/lib/balance/fg_balance.c
@@ -4,39 +4,41 @@
 
 #include "fleet/fg_health.h"
 
-/* Costs of endpoints that are out of order, or were tried before: above every
- * wait that a request could have elsewhere, and below that of none. */
+/* Costs of ejected endpoints and of those that the request was tried at before:
+ * higher than any wait at another endpoint, so that such an endpoint is chosen
+ * only when there is no other. */
 #define EJECTED_COST_MS 3000
 #define AVOIDED_COST_MS 6000
-/* An endpoint that fails as many as half of its requests costs this much. */
+/* Cost of an endpoint that fails half of its requests. */
 #define ERROR_COST_MS 1200
-/* A running request slows each step of its batch a little. */
+/* Cost per running request, which slows each step of its batch a little. */
 #define RUNNING_COST_MS 1.0
-/* A slot whose adapter was used this recently is likely to be in use. */
-#define SPARE_MIN_MS 200
-/* At a busy engine a stream ends, and may free its slot, about this often. */
+/* A slot whose adapter was used more recently than this is likely in use. */
+#define IDLE_SLOT_MIN_MS 200
+/* At a busy engine, a stream ends and may free its slot about this often. */
 #define SLOT_WAIT_MS 150.0
-/* No instance is known that could have it loaded there, or its base model is
- * not there. */
+/* Cost when a load is impossible at present: the engine has no known owner, or
+ * does not hold the base model. */
 #define NO_LOAD_COST_MS 5000
-/* What was on its way this long ago still is, or has arrived. */
-#define COMING_FRESH_MS 1500
-/* Costs differ by up to this at random, so that instances spread. */
-#define TIE_MS 4.0
+/* A load that was pending less than this ago still is, or has completed. */
+#define PENDING_FRESH_MS 1500
+/* Random addition to each cost, so that instances spread their requests. */
+#define JITTER_MS 4.0
 
-static uint32_t running(const struct fg_fleet_ep *ep)
+static uint32_t total_running(const struct fg_fleet_ep *ep)
 {
 	return ep->running + ep->peers_running;
 }
 
-static uint32_t pending(const struct fg_fleet_ep *ep)
+static uint32_t total_pending_tokens(const struct fg_fleet_ep *ep)
 {
 	return ep->pending_tokens + ep->peers_pending_tokens;
 }
 
-/* Mean error rate of the service's usable endpoints: what they share is the
- * requests' own. */
-static double mean_errors(struct fg_fleet *f, fg_ms now, const char *service)
+/* Mean error rate of the service's usable endpoints. Errors that all endpoints
+ * have in common are caused by the requests. */
+static double mean_error_rate_of(struct fg_fleet *f, fg_ms now,
+				 const char *service)
 {
 	const GPtrArray *all = fg_fleet_all(f);
 	double sum = 0;
@@ -54,82 +56,85 @@
 	return n == 0 ? 0 : sum / n;
 }
 
-static bool avoided(const struct fg_balance_query *ask,
-		    const struct fg_fleet_ep *ep)
+static bool is_avoided(const struct fg_balance_query *query,
+		       const struct fg_fleet_ep *ep)
 {
-	for (uint32_t i = 0; i < ask->n_avoid; i++) {
-		if (ask->avoid[i] == ep)
+	for (uint32_t i = 0; i < query->n_avoid; i++) {
+		if (query->avoid[i] == ep)
 			return true;
 	}
 	return false;
 }
 
-/* How many endpoints the adapter's requests are spread over. */
-static uint32_t homes_wanted(const struct fg_balance_conf *conf,
-			     const struct fg_balance_query *ask)
+/* Number of home endpoints of the adapter. */
+static uint32_t home_count(const struct fg_balance_conf *conf,
+			   const struct fg_balance_query *query)
 {
-	double busy =
-		ask->tokens_per_s / FG_MS_PER_S / conf->prefill_tokens_per_ms;
+	double utilization =
+		query->tokens_per_s / FG_MS_PER_S / conf->prefill_tokens_per_ms;
 
-	return 1 + (uint32_t)(busy / conf->home_utilization);
+	return 1 + (uint32_t)(utilization / conf->home_utilization);
 }
 
-/* Place of the endpoint in the adapter's order of rendezvous hashing, from 0;
- * places from `enough` on are not distinguished. */
-static uint32_t rank_of(struct fg_fleet *f, fg_ms now,
-			const struct fg_balance_query *ask,
-			const struct fg_fleet_ep *ep, uint32_t enough)
+/* Rank of the endpoint in the adapter's rendezvous hashing order, from 0. Ranks
+ * are counted up to `limit` only. */
+static uint32_t home_rank(struct fg_fleet *f, fg_ms now,
+			  const struct fg_balance_query *query,
+			  const struct fg_fleet_ep *ep, uint32_t limit)
 {
 	const GPtrArray *all = fg_fleet_all(f);
-	uint64_t own = fg_hash_mix(ep->hash, ask->adapter);
+	uint64_t own_hash = fg_hash_mix(ep->hash, query->adapter);
 	uint32_t before = 0;
 
-	for (guint i = 0; i < all->len && before < enough; i++) {
+	for (guint i = 0; i < all->len && before < limit; i++) {
 		const struct fg_fleet_ep *other = all->pdata[i];
 
-		if (fg_hash_mix(other->hash, ask->adapter) > own &&
-		    strcmp(other->facts.service, ask->service) == 0 &&
+		if (fg_hash_mix(other->hash, query->adapter) > own_hash &&
+		    strcmp(other->facts.service, query->service) == 0 &&
 		    fg_ep_is_usable(other, now))
 			before++;
 	}
 	return before;
 }
 
-/* Part of the stray penalty: none at a home, half at the next one. */
-static double stray_share(struct fg_fleet *f, fg_ms now,
-			  const struct fg_balance_query *ask,
-			  const struct fg_fleet_ep *ep, uint32_t homes)
+/* Part of the non-home penalty that applies: none at a home, half at the
+ * endpoint that ranks next, and all elsewhere. */
+static double non_home_share(struct fg_fleet *f, fg_ms now,
+			     const struct fg_balance_query *query,
+			     const struct fg_fleet_ep *ep, uint32_t n_homes)
 {
-	uint32_t rank = rank_of(f, now, ask, ep, homes + 1);
+	uint32_t rank = home_rank(f, now, query, ep, n_homes + 1);
 
-	if (rank < homes)
+	if (rank < n_homes)
 		return 0;
-	return rank == homes ? 0.5 : 1;
+	return rank == n_homes ? 0.5 : 1;
 }
 
-static bool holds(struct fg_fleet_ep *ep, uint64_t key)
+static bool is_resident(struct fg_fleet_ep *ep, uint64_t key)
 {
 	const struct fg_ep_adapter *a = fg_ep_adapter_find(ep, key);
 
 	return a != NULL && a->version != 0;
 }
 
-/* What it costs to have the adapter there: the load itself in *load_ms. */
+/* Cost of making the adapter resident; *load_ms is the time that this takes and
+ * is part of the cost. */
 static double adapter_cost(const struct fg_balance_conf *conf,
-			   const struct fg_balance_query *ask,
-			   struct fg_fleet_ep *ep, double stray, uint32_t homes,
-			   fg_ms now, bool *resident, double *load_ms)
+			   const struct fg_balance_query *query,
+			   struct fg_fleet_ep *ep, double non_home_part,
+			   uint32_t n_homes, fg_ms now, bool *resident,
+			   double *load_ms)
 {
-	const struct fg_ep_adapter *a = fg_ep_adapter_find(ep, ask->adapter);
+	const struct fg_ep_adapter *a = fg_ep_adapter_find(ep, query->adapter);
 	double cost = 0;
 
 	*load_ms = 0;
-	*resident = ask->adapter == 0 || (a != NULL && a->version != 0);
+	*resident = query->adapter == 0 || (a != NULL && a->version != 0);
 	if (*resident)
 		return 0;
-	if (ep->owner == 0 || !holds(ep, ask->model))
+	if (ep->owner == 0 || !is_resident(ep, query->model))
 		cost += NO_LOAD_COST_MS;
-	if (ep->spare_age_ms < SPARE_MIN_MS)
+	if (ep->spare_age_ms < IDLE_SLOT_MIN_MS)
 		*load_ms += (ep->queue + 1) * SLOT_WAIT_MS;
 	if (a != NULL && a->resident_at > 0) {
 		*load_ms += conf->reload_ms;
@@ -137,21 +142,22 @@
 	}
 	*load_ms += conf->load_ms + ep->fetch_wait_ms;
 	if (a != NULL && a->pending_at > 0 &&
-	    now - a->pending_at < COMING_FRESH_MS)
+	    now - a->pending_at < PENDING_FRESH_MS)
 		return cost + *load_ms;
-	/* A copy for an adapter with several homes is used often. */
-	if (homes > 1 && stray == 0)
+	/* At a home of an adapter with several homes, a further copy is used
+	 * often enough to justify the load. */
+	if (n_homes > 1 && non_home_part == 0)
 		return cost + *load_ms;
 	return cost + *load_ms + conf->load_penalty_ms +
-	       stray * conf->non_home_penalty_ms;
+	       non_home_part * conf->non_home_penalty_ms;
 }
 
-static double plain_wait(const struct fg_balance_conf *conf,
-			 const struct fg_fleet_ep *ep)
+static double plain_wait_ms(const struct fg_balance_conf *conf,
+			    const struct fg_fleet_ep *ep)
 {
 	uint32_t slots = MAX(ep->facts.slots, 1);
 
-	return (double)running(ep) * conf->plain_request_ms / slots;
+	return (double)total_running(ep) * conf->plain_request_ms / slots;
 }
 
 /* Expected wait and cost of one endpoint. */
@@ -161,28 +167,30 @@
 	bool resident;
 };
 
-static struct cost cost_of(const struct fg_balance_conf *conf,
-			   const struct fg_balance_query *ask,
-			   struct fg_fleet_ep *ep, double stray, uint32_t homes,
-			   fg_ms now, double errors)
+static struct cost estimate_cost(const struct fg_balance_conf *conf,
+				 const struct fg_balance_query *query,
+				 struct fg_fleet_ep *ep, double non_home_part,
+				 uint32_t n_homes, fg_ms now,
+				 double mean_error_rate)
 {
 	struct cost c = { 0, 0, true };
 	double load_ms = 0;
-	double excess = MAX(ep->error_rate - errors, 0.0);
+	double excess = MAX(ep->error_rate - mean_error_rate, 0.0);
 
-	if (ask->svc->engine) {
-		c.wait_ms = (pending(ep) + ask->prompt_tokens) /
+	if (query->svc->engine) {
+		c.wait_ms = (total_pending_tokens(ep) + query->prompt_tokens) /
 			    conf->prefill_tokens_per_ms * ep->slowness;
-		c.total_ms = adapter_cost(conf, ask, ep, stray, homes, now,
-					  &c.resident, &load_ms);
+		c.total_ms = adapter_cost(conf, query, ep, non_home_part,
+					  n_homes, now, &c.resident, &load_ms);
 		c.wait_ms += load_ms;
-		c.total_ms += c.wait_ms - load_ms +
-			      RUNNING_COST_MS * running(ep) * ep->slowness;
+		c.total_ms +=
+			c.wait_ms - load_ms +
+			RUNNING_COST_MS * total_running(ep) * ep->slowness;
 	} else {
-		c.wait_ms = plain_wait(conf, ep) * ep->slowness;
+		c.wait_ms = plain_wait_ms(conf, ep) * ep->slowness;
 		c.total_ms = c.wait_ms;
 	}
-	if (strcmp(ep->region, ask->region) != 0) {
+	if (strcmp(ep->region, query->region) != 0) {
 		c.wait_ms += conf->cross_region_rtt_ms;
 		c.total_ms += conf->cross_region_rtt_ms +
 			      conf->cross_region_penalty_ms;
@@ -190,14 +198,15 @@
 	c.total_ms += ERROR_COST_MS * 2 * excess;
 	if (fg_health_is_ejected(ep, now))
 		c.total_ms += EJECTED_COST_MS;
-	if (avoided(ask, ep))
+	if (is_avoided(query, ep))
 		c.total_ms += AVOIDED_COST_MS;
 	return c;
 }
 
-/* Inserts into a list of at most max entries, cheapest first. */
-static uint32_t insert(struct fg_balance_pick *out, uint32_t n, uint32_t max,
-		       const struct fg_balance_pick *p)
+/* Inserts into a list of `n` entries, at most `max`, cheapest first. Returns
+ * the new number of entries. */
+static uint32_t insert_pick(struct fg_balance_pick *out, uint32_t n,
+			    uint32_t max, const struct fg_balance_pick *p)
 {
 	uint32_t at = n < max ? n : max;
 
@@ -212,13 +221,13 @@
 }
 
 uint32_t fg_balance_rank(const struct fg_balance_conf *conf, struct fg_fleet *f,
-			 fg_ms now, const struct fg_balance_query *ask,
+			 fg_ms now, const struct fg_balance_query *query,
 			 struct fg_rand *rand, struct fg_balance_pick *out,
 			 uint32_t max)
 {
 	const GPtrArray *all = fg_fleet_all(f);
-	double errors = mean_errors(f, now, ask->service);
-	uint32_t homes = homes_wanted(conf, ask);
+	double mean_error_rate = mean_error_rate_of(f, now, query->service);
+	uint32_t n_homes = home_count(conf, query);
 	uint32_t n = 0;
 
 	for (guint i = 0; i < all->len; i++) {
@@ -226,29 +235,30 @@
 		struct fg_balance_pick p = { .ep = ep };
 		struct cost c;
 
-		if (strcmp(ep->facts.service, ask->service) != 0 ||
+		if (strcmp(ep->facts.service, query->service) != 0 ||
 		    !fg_ep_is_usable(ep, now))
 			continue;
-		c = cost_of(conf, ask, ep,
-			    ask->adapter == 0
-				    ? 0
-				    : stray_share(f, now, ask, ep, homes),
-			    homes, now, errors);
+		c = estimate_cost(
+			conf, query, ep,
+			query->adapter == 0
+				? 0
+				: non_home_share(f, now, query, ep, n_homes),
+			n_homes, now, mean_error_rate);
 		p.wait_ms = (uint32_t)c.wait_ms;
 		p.resident = c.resident;
-		p.cost_ms = c.total_ms + TIE_MS * fg_rand_unit(rand);
-		n = insert(out, n, max, &p);
+		p.cost_ms = c.total_ms + JITTER_MS * fg_rand_unit(rand);
+		n = insert_pick(out, n, max, &p);
 	}
 	return n;
 }
 
 struct fg_balance_pick fg_balance_pick(const struct fg_balance_conf *conf,
 				       struct fg_fleet *f, fg_ms now,
-				       const struct fg_balance_query *ask,
+				       const struct fg_balance_query *query,
 				       struct fg_rand *rand)
 {
 	struct fg_balance_pick best = { 0 };
 
-	(void)fg_balance_rank(conf, f, now, ask, rand, &best, 1);
+	(void)fg_balance_rank(conf, f, now, query, rand, &best, 1);
 	return best;
 }
