--- a/lib/claim/fg_claim.c
+++ b/lib/claim/fg_claim.c
@@ -6,7 +6,7 @@
 
 #include "base/fg_rand.h"
 
-/* Rank added per level of nearness; above every hash. */
+/* Nearness of an instance to an engine; takes precedence over the hash. */
 enum near {
 	ANYWHERE = 0,
 	SAME_REGION = 1,
@@ -14,11 +14,11 @@
 };
 
 struct claim {
-	uint64_t incarnation;	 /* of the holder; 0: no row */
+	uint64_t incarnation;	 /* of the owner; 0: no row */
 	uint64_t version;	 /* of the row */
-	uint64_t fenced_version; /* refused by the engine */
-	fg_ms lost_at;		 /* this instance lost it; 0: never */
-	bool fresh;		 /* seen in the running full read */
+	uint64_t fenced_version; /* its fence was refused by the engine */
+	fg_ms lost_at;		 /* by this instance; 0: never */
+	bool seen;		 /* applied since the full read began */
 };
 
 struct fg_claims {
@@ -45,89 +45,90 @@
 	g_free(c);
 }
 
-static struct claim *claim_of(struct fg_claims *c, const char *id)
+static struct claim *find_or_add_claim(struct fg_claims *c, const char *id)
 {
-	struct claim *cl = g_hash_table_lookup(c->by_ep, id);
+	struct claim *claim = g_hash_table_lookup(c->by_ep, id);
 
-	if (cl == NULL) {
-		cl = g_new0(struct claim, 1);
-		g_hash_table_insert(c->by_ep, g_strdup(id), cl);
+	if (claim == NULL) {
+		claim = g_new0(struct claim, 1);
+		g_hash_table_insert(c->by_ep, g_strdup(id), claim);
 	}
-	return cl;
+	return claim;
 }
 
 /* "INCARNATION NAME", the incarnation in hexadecimal. */
-char *fg_claims_value(const struct fg_claims *c, const char *self_name)
+char *fg_claims_format_value(const struct fg_claims *c, const char *self_name)
 {
 	return g_strdup_printf("%016" G_GINT64_MODIFIER "x %s",
 			       (guint64)c->self, self_name);
 }
 
-static void set_row(struct fg_claims *c, fg_ms now, struct claim *cl,
-		    uint64_t incarnation, uint64_t version)
+static void apply_row(struct fg_claims *c, fg_ms now, struct claim *claim,
+		      uint64_t incarnation, uint64_t version)
 {
-	if (version < cl->version)
+	if (version < claim->version)
 		return;
-	if (cl->incarnation == c->self && incarnation != c->self)
-		cl->lost_at = now;
-	cl->incarnation = incarnation;
-	cl->version = version;
+	if (claim->incarnation == c->self && incarnation != c->self)
+		claim->lost_at = now;
+	claim->incarnation = incarnation;
+	claim->version = version;
 }
 
-void fg_claims_row(struct fg_claims *c, fg_ms now, const char *endpoint_id,
-		   const char *value, uint64_t version)
+void fg_claims_apply_row(struct fg_claims *c, fg_ms now,
+			 const char *endpoint_id, const char *value,
+			 uint64_t version)
 {
-	struct claim *cl = claim_of(c, endpoint_id);
+	struct claim *claim = find_or_add_claim(c, endpoint_id);
 
-	cl->fresh = true;
+	claim->seen = true;
 	if (value == NULL) {
-		/* An absent row is created anew under the condition 0. */
-		cl->incarnation = 0;
-		cl->version = 0;
+		/* The condition for creating an absent row is version 0. */
+		claim->incarnation = 0;
+		claim->version = 0;
 		return;
 	}
-	set_row(c, now, cl, g_ascii_strtoull(value, NULL, 16), version);
+	apply_row(c, now, claim, g_ascii_strtoull(value, NULL, 16), version);
 }
 
-void fg_claims_read_begin(struct fg_claims *c)
+void fg_claims_begin_full_read(struct fg_claims *c)
 {
-	GHashTableIter it;
-	gpointer cl;
+	GHashTableIter iter;
+	gpointer claim;
 
-	g_hash_table_iter_init(&it, c->by_ep);
-	while (g_hash_table_iter_next(&it, NULL, &cl))
-		((struct claim *)cl)->fresh = false;
+	g_hash_table_iter_init(&iter, c->by_ep);
+	while (g_hash_table_iter_next(&iter, NULL, &claim))
+		((struct claim *)claim)->seen = false;
 }
 
-void fg_claims_read_end(struct fg_claims *c)
+void fg_claims_end_full_read(struct fg_claims *c)
 {
-	GHashTableIter it;
-	gpointer cl;
+	GHashTableIter iter;
+	gpointer claim;
 
-	g_hash_table_iter_init(&it, c->by_ep);
-	while (g_hash_table_iter_next(&it, NULL, &cl)) {
-		if (!((struct claim *)cl)->fresh)
-			g_hash_table_iter_remove(&it);
+	g_hash_table_iter_init(&iter, c->by_ep);
+	while (g_hash_table_iter_next(&iter, NULL, &claim)) {
+		if (!((struct claim *)claim)->seen)
+			g_hash_table_iter_remove(&iter);
 	}
 }
 
 /* ---- Candidates ---- */
 
-static enum near nearness(const struct fg_claimant *m,
+static enum near nearness(const struct fg_claim_candidate *candidate,
 			  const struct fg_fleet_ep *ep)
 {
-	if (strcmp(m->dc, ep->facts.dc) == 0)
+	if (strcmp(candidate->dc, ep->facts.dc) == 0)
 		return SAME_DC;
-	if (strcmp(m->region, ep->region) == 0)
+	if (strcmp(candidate->region, ep->region) == 0)
 		return SAME_REGION;
 	return ANYWHERE;
 }
 
-static const struct fg_claimant *first_candidate(const struct fg_fleet_ep *ep,
-						 const struct fg_claimant *live,
-						 uint32_t n_live)
+static const struct fg_claim_candidate *
+best_candidate(const struct fg_fleet_ep *ep,
+	       const struct fg_claim_candidate *live, uint32_t n_live)
 {
-	const struct fg_claimant *best = NULL;
+	const struct fg_claim_candidate *best = NULL;
 	uint64_t best_rank = 0;
 	enum near best_near = ANYWHERE;
 
@@ -146,8 +147,9 @@
 	return best;
 }
 
-static const struct fg_claimant *
-find_live(const struct fg_claimant *live, uint32_t n_live, uint64_t incarnation)
+static const struct fg_claim_candidate *
+find_live(const struct fg_claim_candidate *live, uint32_t n_live,
+	  uint64_t incarnation)
 {
 	for (uint32_t i = 0; i < n_live; i++) {
 		if (live[i].incarnation == incarnation)
@@ -156,78 +158,82 @@
 	return NULL;
 }
 
-/* Should this engine get another holder, and is that this instance? */
-static bool wants(const struct claim *cl, fg_ms now,
-		  const struct fg_fleet_ep *ep, const struct fg_claimant *live,
-		  uint32_t n_live)
+/* Should this instance take the engine over? */
+static bool should_claim(const struct claim *claim, fg_ms now,
+			 const struct fg_fleet_ep *ep,
+			 const struct fg_claim_candidate *live, uint32_t n_live)
 {
-	const struct fg_claimant *holder =
-		find_live(live, n_live, cl->incarnation);
-	const struct fg_claimant *first = first_candidate(ep, live, n_live);
+	const struct fg_claim_candidate *owner =
+		find_live(live, n_live, claim->incarnation);
+	const struct fg_claim_candidate *best =
+		best_candidate(ep, live, n_live);
 
-	if (first == NULL || !first->self)
+	if (best == NULL || !best->self)
 		return false;
-	if (cl->lost_at != 0 && now - cl->lost_at < FG_CLAIM_BACKOFF_MS)
+	if (claim->lost_at != 0 && now - claim->lost_at < FG_CLAIM_BACKOFF_MS)
 		return false;
-	if (holder == NULL)
+	if (owner == NULL)
 		return true;
-	if (holder->self)
-		return cl->fenced_version == cl->version;
-	return nearness(first, ep) >= SAME_REGION &&
-	       nearness(holder, ep) == ANYWHERE;
+	if (owner->self)
+		return claim->fenced_version == claim->version;
+	return nearness(best, ep) >= SAME_REGION &&
+	       nearness(owner, ep) == ANYWHERE;
 }
 
-uint32_t fg_claims_wanted(struct fg_claims *c, fg_ms now,
+uint32_t fg_claims_select(struct fg_claims *c, fg_ms now,
 			  struct fg_fleet_ep *const *eps, uint32_t n_eps,
-			  const struct fg_claimant *live, uint32_t n_live,
-			  struct fg_claim_write *out, uint32_t max)
+			  const struct fg_claim_candidate *live,
+			  uint32_t n_live, struct fg_claim_write *out,
+			  uint32_t max)
 {
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < n_eps && n < max; i++) {
-		const struct claim *cl = claim_of(c, eps[i]->facts.id);
+		const struct claim *claim =
+			find_or_add_claim(c, eps[i]->facts.id);
 
-		if (!wants(cl, now, eps[i], live, n_live))
+		if (!should_claim(claim, now, eps[i], live, n_live))
 			continue;
 		g_strlcpy(out[n].endpoint_id, eps[i]->facts.id,
 			  sizeof(out[n].endpoint_id));
-		out[n++].expected = cl->version;
+		out[n++].expected = claim->version;
 	}
 	return n;
 }
 
-void fg_claims_written(struct fg_claims *c, fg_ms now,
-		       const struct fg_claim_write *rows, uint32_t n,
-		       uint64_t version)
+void fg_claims_handle_result(struct fg_claims *c, fg_ms now,
+			     const struct fg_claim_write *rows, uint32_t n,
+			     uint64_t version)
 {
 	for (uint32_t i = 0; version != 0 && i < n; i++)
-		set_row(c, now, claim_of(c, rows[i].endpoint_id), c->self,
-			version);
+		apply_row(c, now, find_or_add_claim(c, rows[i].endpoint_id),
+			  c->self, version);
 }
 
 uint64_t fg_claims_fence(const struct fg_claims *c, const char *endpoint_id)
 {
-	const struct claim *cl = g_hash_table_lookup(c->by_ep, endpoint_id);
+	const struct claim *claim = g_hash_table_lookup(c->by_ep, endpoint_id);
 
-	if (cl == NULL || cl->incarnation != c->self ||
-	    cl->fenced_version == cl->version)
+	if (claim == NULL || claim->incarnation != c->self ||
+	    claim->fenced_version == claim->version)
 		return 0;
-	return cl->version;
+	return claim->version;
 }
 
-uint64_t fg_claims_holder(const struct fg_claims *c, const char *endpoint_id)
+uint64_t fg_claims_owner(const struct fg_claims *c, const char *endpoint_id)
 {
-	const struct claim *cl = g_hash_table_lookup(c->by_ep, endpoint_id);
+	const struct claim *claim = g_hash_table_lookup(c->by_ep, endpoint_id);
 
-	return cl == NULL ? 0 : cl->incarnation;
+	return claim == NULL ? 0 : claim->incarnation;
 }
 
-void fg_claims_fenced(struct fg_claims *c, fg_ms now, const char *endpoint_id)
+void fg_claims_handle_fenced(struct fg_claims *c, fg_ms now,
+			     const char *endpoint_id)
 {
-	struct claim *cl = claim_of(c, endpoint_id);
+	struct claim *claim = find_or_add_claim(c, endpoint_id);
 
-	if (cl->incarnation != c->self)
+	if (claim->incarnation != c->self)
 		return;
-	cl->fenced_version = cl->version;
-	cl->lost_at = now;
+	claim->fenced_version = claim->version;
+	claim->lost_at = now;
 }
--- a/lib/gateway/fg_gw_hear.c
+++ b/lib/gateway/fg_gw_hear.c
@@ -56,7 +56,7 @@
 	struct fg_fleet_held held[FG_MESH_HELD_MAX];
 	uint32_t n = 0;
 
-	if (ep == NULL || fg_claims_holder(gw->claims, ep->facts.id) != sender)
+	if (ep == NULL || fg_claims_owner(gw->claims, ep->facts.id) != sender)
 		return;
 	for (u_int i = 0; i < own->held.held_len; i++) {
 		const fg_mesh_held *h = &own->held.held_val[i];
--- a/lib/gateway/fg_gw_orders.c
+++ b/lib/gateway/fg_gw_orders.c
@@ -146,7 +146,8 @@
 		return;
 	}
 	if (result == FG_ORDER_FENCED) {
-		fg_claims_fenced(local->gw->claims, now, local->ep->facts.id);
+		fg_claims_handle_fenced(local->gw->claims, now,
+					local->ep->facts.id);
 		fg_orders_release(local);
 		return;
 	}
@@ -348,12 +349,12 @@
 static void update_owner(struct fg_gateway *gw, struct fg_fleet_ep *ep,
 			 fg_ms now)
 {
-	uint64_t holder = fg_claims_holder(gw->claims, ep->facts.id);
-	const struct fg_mesh_peer *peer = fg_peers_find(gw->peers, holder);
+	uint64_t owner = fg_claims_owner(gw->claims, ep->facts.id);
+	const struct fg_mesh_peer *peer = fg_peers_find(gw->peers, owner);
 
-	if (holder == gw->incarnation ||
+	if (owner == gw->incarnation ||
 	    (peer != NULL && fg_peer_alive(peer, now)))
-		ep->owner = holder;
+		ep->owner = owner;
 	else
 		ep->owner = 0;
 }
--- a/lib/gateway/fg_gw_own.c
+++ b/lib/gateway/fg_gw_own.c
@@ -62,8 +62,8 @@
 	gw->next_tx_at = now + TX_GAP_MS;
 	if (status == HTTP_STATUS_OK &&
 	    gw->wire->rows_read(body, len, &rows, NULL))
-		fg_claims_written(gw->claims, now, gw->claiming, gw->n_claiming,
-				  rows.version);
+		fg_claims_handle_result(gw->claims, now, gw->claiming,
+					gw->n_claiming, rows.version);
 	fg_store_rows_clear(&rows);
 	g_snprintf(count, sizeof(count), "%u", gw->n_claiming);
 	g_snprintf(code, sizeof(code), "%u", status);
@@ -73,13 +73,13 @@
 }
 
 static uint32_t list_candidates(struct fg_gateway *gw, fg_ms now,
-				struct fg_claimant *out, uint32_t max)
+				struct fg_claim_candidate *out, uint32_t max)
 {
 	const GPtrArray *peers = fg_peers_all(gw->peers);
 	uint32_t n = 0;
 
 	if (!gw->stopping) {
-		out[n++] = (struct fg_claimant){
+		out[n++] = (struct fg_claim_candidate){
 			.incarnation = gw->incarnation,
 			.hash = fg_hash_str(gw->conf->name),
 			.dc = gw->conf->dc,
@@ -92,7 +92,7 @@
 
 		if (!fg_peer_alive(p, now) || p->state == FG_MESH_LEAVING)
 			continue;
-		out[n++] = (struct fg_claimant){
+		out[n++] = (struct fg_claim_candidate){
 			.incarnation = p->row.incarnation,
 			.hash = p->hash,
 			.dc = p->row.dc,
@@ -129,13 +129,14 @@
 
 static void claim_engines(struct fg_gateway *gw, fg_ms now)
 {
-	struct fg_claimant *live = g_new(struct fg_claimant, CANDIDATES_MAX);
+	struct fg_claim_candidate *live =
+		g_new(struct fg_claim_candidate, CANDIDATES_MAX);
 	uint32_t n_live = list_candidates(gw, now, live, CANDIDATES_MAX);
 	GPtrArray *eps = usable_engines(gw, now);
 	struct fg_tx_row rows[FG_CLAIM_BATCH_MAX];
-	char *value = fg_claims_value(gw->claims, gw->conf->name);
+	char *value = fg_claims_format_value(gw->claims, gw->conf->name);
 
-	gw->n_claiming = fg_claims_wanted(
+	gw->n_claiming = fg_claims_select(
 		gw->claims, now, (struct fg_fleet_ep *const *)eps->pdata,
 		eps->len, live, n_live, gw->claiming, FG_CLAIM_BATCH_MAX);
 	for (uint32_t i = 0; i < gw->n_claiming; i++) {
--- a/lib/gateway/fg_gw_rows.c
+++ b/lib/gateway/fg_gw_rows.c
@@ -153,9 +153,9 @@
 	struct fg_peer_row peer;
 
 	if (g_str_has_prefix(row->key, FG_SYNC_KEY_OWNER)) {
-		fg_claims_row(gw->claims, now,
-			      row->key + strlen(FG_SYNC_KEY_OWNER),
-			      row->removed ? NULL : row->value, row->version);
+		fg_claims_apply_row(
+			gw->claims, now, row->key + strlen(FG_SYNC_KEY_OWNER),
+			row->removed ? NULL : row->value, row->version);
 		return;
 	}
 	if (!g_str_has_prefix(row->key, FG_SYNC_KEY_INSTANCE))
--- a/lib/gateway/fg_gw_sync.c
+++ b/lib/gateway/fg_gw_sync.c
@@ -47,7 +47,7 @@
 	if (f->id == FG_FEED_REGISTRY)
 		fg_fleet_read_begin(f->gw->fleet);
 	else if (f->id == FG_FEED_OWN)
-		fg_claims_read_begin(f->gw->claims);
+		fg_claims_begin_full_read(f->gw->claims);
 }
 
 static void end_full_read(struct fg_feed *f, fg_ms now)
@@ -65,7 +65,7 @@
 	if (f->id == FG_FEED_REGISTRY)
 		fg_fleet_read_end(f->gw->fleet, now);
 	else if (f->id == FG_FEED_OWN)
-		fg_claims_read_end(f->gw->claims);
+		fg_claims_end_full_read(f->gw->claims);
 }
 
 static void apply_page(struct fg_feed *f, const struct fg_store_rows *rows,
