--- a/lib/member/fg_member.c
+++ b/lib/member/fg_member.c
@@ -17,10 +17,10 @@
 	conf->ping_ms = 1000;
 	conf->suspect_ms = 3000;
 	conf->confirm_ms = 6000;
-	conf->fanout = 4;
+	conf->ping_fanout = 4;
 	conf->own_lease_ms = 0;
-	conf->reach_ms = 0;
-	conf->survey_ms = 0;
+	conf->reachable_ms = 0;
+	conf->quorum_ping_ms = 0;
 	conf->pause_ms = 0;
 }
 
@@ -28,14 +28,15 @@
 {
 	if (c->own_lease_ms == 0)
 		c->own_lease_ms = c->lease_ms - c->lease_ms / 6;
-	if (c->reach_ms == 0)
-		c->reach_ms = c->lease_ms * 2 / 3;
-	if (c->survey_ms == 0)
-		c->survey_ms = c->reach_ms / 2;
+	if (c->reachable_ms == 0)
+		c->reachable_ms = c->lease_ms * 2 / 3;
+	if (c->quorum_ping_ms == 0)
+		c->quorum_ping_ms = c->reachable_ms / 2;
 	if (c->pause_ms == 0)
 		c->pause_ms = 1000;
 	g_assert(c->own_lease_ms < c->lease_ms);
-	g_assert(c->survey_ms > 0 && 2 * c->survey_ms <= c->reach_ms);
+	g_assert(c->quorum_ping_ms > 0 &&
+		 2 * c->quorum_ping_ms <= c->reachable_ms);
 	g_assert(c->renew_ms > 0 && c->renew_ms < c->own_lease_ms);
 }
 
@@ -47,7 +48,7 @@
 	m->conf = *conf;
 	m->conf.self.id = fg_hash_str(conf->self.name);
 	derive(&m->conf);
-	g_snprintf(m->key, sizeof(m->key), FG_MEMBER_PREFIX "%s",
+	g_snprintf(m->key, sizeof(m->key), FG_MEMBER_KEY_PREFIX "%s",
 		   conf->self.name);
 	fg_rand_seed(&m->rand, seed);
 	m->peers = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
@@ -240,8 +241,8 @@
 	fg_member_lease_tick(m, now);
 }
 
-void fg_member_quit(struct fg_member *m, fg_ms now, fg_member_emit emit,
-		    void *arg)
+void fg_member_release_lease(struct fg_member *m, fg_ms now,
+			     fg_member_emit emit, void *arg)
 {
 	m->emit = emit;
 	m->arg = arg;
@@ -315,14 +316,14 @@
 	return n;
 }
 
-size_t fg_member_live(const struct fg_member *m, const char *region,
-		      uint64_t *ids, size_t max)
+size_t fg_member_list_live(const struct fg_member *m, const char *region,
+			   uint64_t *ids, size_t max)
 {
 	return list_peers(m, region, false, ids, max);
 }
 
-size_t fg_member_present(const struct fg_member *m, const char *region,
-			 uint64_t *ids, size_t max)
+size_t fg_member_list_present(const struct fg_member *m, const char *region,
+			      uint64_t *ids, size_t max)
 {
 	return list_peers(m, region, true, ids, max);
 }
--- a/lib/member/fg_member.h
+++ b/lib/member/fg_member.h
@@ -9,7 +9,7 @@
  * its lease as fresh for own_lease_ms only, from when it sent the renewal.
  *
  * Liveness comes from three sources: lease rows, the platform's lagging list,
- * and pings. Each instance pings `fanout` neighbours on a hash ring of its
+ * and pings. Each instance pings `ping_fanout` neighbours on a hash ring of its
  * region and a few at random, never all, so that traffic per instance does
  * not grow with their number. A suspicion is passed on by LEAVING messages
  * that name the suspect; it decides nothing, it only brings forward the next
@@ -21,7 +21,7 @@
  *  - had pings answered, sent after that, which tell that the platform is
  *    reachable, by so many of the region's instances that they and two thirds
  *    of those whom the holder counted cannot be apart, and
- *  - waited reach_ms more.
+ *  - waited reachable_ms more.
  * A lapsed row whose inner address another instance uses by now needs no more
  * than the lapse: the process that held the address has ended.
  *
@@ -29,7 +29,7 @@
  *   CONFIRMED  our own lease is fresh, and this instance, or a peer it
  *              reaches, reached the platform within confirm_ms.
  *   OUTAGE     we hold a lease, nobody is known to have reached the platform
- *              since it ceased to be fresh, and within reach_ms two thirds
+ *              since it ceased to be fresh, and within reachable_ms two thirds
  *              of the region's instances, themselves CONFIRMED or in OUTAGE,
  *              answered a ping, or all of them whatever their standing: hold
  *              on to what we own.
@@ -68,16 +68,17 @@
 	uint32_t list_ms; /* between reads of the platform's list; longer when
 			   * it is long, see FG_MEMBER_LIST_BYTES_PER_S */
 	uint32_t ping_ms; /* between pings of one neighbour */
-	uint32_t suspect_ms; /* no pong this long: suspect */
-	uint32_t confirm_ms; /* a contact with the platform counts this long */
-	uint32_t fanout;     /* neighbours pinged */
+	uint32_t suspect_ms;  /* no pong this long: suspect */
+	uint32_t confirm_ms;  /* a contact with the platform counts this long */
+	uint32_t ping_fanout; /* neighbours pinged */
 
 	/* Derived from lease_ms when 0. */
-	uint32_t own_lease_ms; /* our lease is fresh this long; < lease_ms */
-	uint32_t reach_ms;     /* an answered ping counts this long */
-	uint32_t survey_ms;    /* between pings of one instance while many are
-				* pinged to find a quorum; <= reach_ms / 2 */
-	uint32_t pause_ms;     /* a longer gap between ticks is a pause */
+	uint32_t own_lease_ms;	 /* our lease is fresh this long; < lease_ms */
+	uint32_t reachable_ms;	 /* an answered ping counts this long */
+	uint32_t quorum_ping_ms; /* between pings of one instance while many are
+				  * pinged to find a quorum; <= reachable_ms / 2
+				  */
+	uint32_t pause_ms;	 /* a longer gap between ticks is a pause */
 };
 
 /* Bounds on what reading the lease rows and the list cost one instance. */
@@ -97,7 +98,7 @@
 struct fg_peer_view {
 	struct fg_listed info;
 	enum fg_peer_state state;
-	fg_ms heard;	   /* last sign of life by message */
+	fg_ms heard_at;	   /* last sign of life by message */
 	uint64_t revision; /* its configuration, as last said */
 };
 
@@ -154,11 +155,11 @@
 
 /* Reads all lease rows at the next tick, however lately that was done: after
  * a change of configuration nobody who joined before it may be overlooked. */
-void fg_member_look(struct fg_member *m, fg_ms now);
+void fg_member_request_scan(struct fg_member *m, fg_ms now);
 
 /* When the read of all lease rows that the view stands on was begun; 0 before
  * the first. */
-fg_ms fg_member_looked_at(const struct fg_member *m);
+fg_ms fg_member_scanned_at(const struct fg_member *m);
 
 /* Starts draining: the lease row and pings say so. */
 void fg_member_leave(struct fg_member *m, fg_ms now, fg_member_emit emit,
@@ -166,8 +167,8 @@
 
 /* Ends our membership after draining: deletes the lease row, so that nobody
  * has to wait for it to lapse. */
-void fg_member_quit(struct fg_member *m, fg_ms now, fg_member_emit emit,
-		    void *arg);
+void fg_member_release_lease(struct fg_member *m, fg_ms now,
+			     fg_member_emit emit, void *arg);
 
 enum fg_standing fg_member_standing(const struct fg_member *m, fg_ms now);
 const char *fg_standing_name(enum fg_standing s);
@@ -180,7 +181,7 @@
 
 /* True when this instance reaches more than half of the region's instances
  * that are not dead (itself included). */
-bool fg_member_sees_majority(const struct fg_member *m, fg_ms now);
+bool fg_member_reaches_majority(const struct fg_member *m, fg_ms now);
 
 /* Grows whenever our lease was lost or won. What was owned under another
  * epoch is lost and must be claimed anew. 0 while we never had a lease. */
@@ -188,14 +189,14 @@
 
 /* True when a read sent after `since` showed that instance id has no lease
  * row: what it owned at `since` may be taken over. */
-bool fg_member_gone(const struct fg_member *m, uint64_t id, fg_ms since);
+bool fg_member_is_gone(const struct fg_member *m, uint64_t id, fg_ms since);
 
 /* Grows whenever an instance is added, changes its state or is forgotten. */
 uint64_t fg_member_generation(const struct fg_member *m);
 
 /* Instances of the region that our lease row tells of, this one included; 0
  * without a lease. */
-uint32_t fg_member_said_size(const struct fg_member *m);
+uint32_t fg_member_advertised_size(const struct fg_member *m);
 
 /* Our id and region. */
 uint64_t fg_member_self(const struct fg_member *m);
@@ -207,13 +208,13 @@
 
 /* Copies up to max ids of instances that are LIVE or SUSPECT, self included;
  * region NULL takes all regions. Returns how many there are. */
-size_t fg_member_live(const struct fg_member *m, const char *region,
-		      uint64_t *ids, size_t max);
+size_t fg_member_list_live(const struct fg_member *m, const char *region,
+			   uint64_t *ids, size_t max);
 
 /* The same, and those that are leaving: they still have requests in progress
  * and grants in use. */
-size_t fg_member_present(const struct fg_member *m, const char *region,
-			 uint64_t *ids, size_t max);
+size_t fg_member_list_present(const struct fg_member *m, const char *region,
+			      uint64_t *ids, size_t max);
 
 /*
  * The instance that should own `key` (an endpoint id): rendezvous hashing
--- a/lib/member/fg_member_internal.h
+++ b/lib/member/fg_member_internal.h
@@ -18,7 +18,7 @@
 #include "member/fg_member.h"
 
 #define FG_MEMBER_OP_TAG (UINT64_C(0x4d) << 56)
-#define FG_MEMBER_PREFIX "session/"
+#define FG_MEMBER_KEY_PREFIX "session/"
 
 /* The value of a lease row. */
 struct fg_lease_row {
--- a/lib/member/fg_member_lease.c
+++ b/lib/member/fg_member_lease.c
@@ -9,7 +9,7 @@
 
 #define LOST_RETRY_MS 300 /* before reading back */
 
-uint32_t fg_member_said_size(const struct fg_member *m)
+uint32_t fg_member_advertised_size(const struct fg_member *m)
 {
 	return m->lease.held ? m->lease.region_least : 0;
 }
--- a/lib/member/fg_member_peers.c
+++ b/lib/member/fg_member_peers.c
@@ -130,7 +130,7 @@
 	fg_member_refresh_state(m, e);
 }
 
-bool fg_member_gone(const struct fg_member *m, uint64_t id, fg_ms since)
+bool fg_member_is_gone(const struct fg_member *m, uint64_t id, fg_ms since)
 {
 	const struct fg_peer_entry *e = g_hash_table_lookup(m->peers, &id);
 
@@ -187,7 +187,7 @@
 static bool reap_turn(const struct fg_member *m, fg_ms now,
 		      const struct fg_peer_entry *e)
 {
-	fg_ms turn_ms = (fg_ms)m->conf.reach_ms * 3 / 2;
+	fg_ms turn_ms = (fg_ms)m->conf.reachable_ms * 3 / 2;
 
 	if (e->lapsed_at == 0 || !fg_member_same_region(m, e) ||
 	    !fg_member_lease_fresh(m, now))
@@ -251,7 +251,7 @@
 	struct fg_mop mop = { .kind = FG_MOP_DELETE, .peer = e->view.info.id };
 	struct fg_table_op *op = fg_member_op(m, FG_OP_TXN, NULL);
 	g_autofree char *key =
-		g_strconcat(FG_MEMBER_PREFIX, e->view.info.name, NULL);
+		g_strconcat(FG_MEMBER_KEY_PREFIX, e->view.info.name, NULL);
 
 	e->op_busy = true;
 	fg_table_op_write(op, key, e->row_version, NULL);
@@ -272,7 +272,7 @@
 			e->proven_at = now;
 		return;
 	}
-	if (now < e->proven_at + (fg_ms)m->conf.reach_ms || e->op_busy)
+	if (now < e->proven_at + (fg_ms)m->conf.reachable_ms || e->op_busy)
 		return;
 	send_delete(m, now, e);
 }
@@ -320,7 +320,7 @@
 
 	(void)key;
 	return !e->has_row && !e->op_busy &&
-	       *now - MAX(e->absent_at, e->view.heard) > FORGET_MS;
+	       *now - MAX(e->absent_at, e->view.heard_at) > FORGET_MS;
 }
 
 void fg_member_peers_tick(struct fg_member *m, fg_ms now)
--- a/lib/member/fg_member_ping.c
+++ b/lib/member/fg_member_ping.c
@@ -135,7 +135,7 @@
 static void ping_neighbours(struct fg_member *m, fg_ms now)
 {
 	guint place = own_place(m);
-	guint n = MIN(m->conf.fanout, m->ring->len);
+	guint n = MIN(m->conf.ping_fanout, m->ring->len);
 
 	for (guint i = 0; i < n; i++)
 		fg_member_ping_one(m, now,
@@ -227,7 +227,7 @@
 		ping_neighbours(m, now);
 	}
 	if (now >= m->survey_at && survey_size(m, now) > 0) {
-		m->survey_at = now + (fg_ms)m->conf.survey_ms;
+		m->survey_at = now + (fg_ms)m->conf.quorum_ping_ms;
 		survey(m, now);
 	}
 	check_answers(m, now);
@@ -296,7 +296,7 @@
 	m->emit = emit;
 	m->arg = arg;
 	if (e != NULL)
-		e->view.heard = now;
+		e->view.heard_at = now;
 	if (b->type == FG_MSG_PING) {
 		learn_contact(m, now, &b->fg_body_u.ping);
 		if (e != NULL)
--- a/lib/member/fg_member_row.c
+++ b/lib/member/fg_member_row.c
@@ -38,7 +38,7 @@
 	bool ok;
 
 	memset(row, 0, sizeof(*row));
-	ok = obj != NULL && g_str_has_prefix(key, FG_MEMBER_PREFIX) &&
+	ok = obj != NULL && g_str_has_prefix(key, FG_MEMBER_KEY_PREFIX) &&
 	     json_unpack(obj, "{s:i, s:I, s:s, s:s, s:s, s:s, s:s, s?I, s?I}",
 			 "format", &format, "boot", &boot, "http", &http, "rpc",
 			 &rpc, "region", &region, "dc", &dc, "state", &state,
@@ -46,7 +46,7 @@
 			 &total_size) == 0 &&
 	     format >= ROW_FORMAT;
 	if (ok) {
-		const char *name = key + strlen(FG_MEMBER_PREFIX);
+		const char *name = key + strlen(FG_MEMBER_KEY_PREFIX);
 
 		row->boot = (uint64_t)boot;
 		row->region_size = (uint32_t)region_size;
--- a/lib/member/fg_member_standing.c
+++ b/lib/member/fg_member_standing.c
@@ -44,10 +44,10 @@
 	return region_size <= SMALL_REGION;
 }
 
-bool fg_member_sees_majority(const struct fg_member *m, fg_ms now)
+bool fg_member_reaches_majority(const struct fg_member *m, fg_ms now)
 {
 	struct fg_tally t =
-		fg_member_region_tally(m, now - (fg_ms)m->conf.reach_ms);
+		fg_member_region_tally(m, now - (fg_ms)m->conf.reachable_ms);
 
 	return 2 * t.reached > t.size;
 }
@@ -86,7 +86,7 @@
 				       fg_ms since)
 {
 	fg_ms contact = fg_member_contact(m);
-	fg_ms reach = MAX(now - (fg_ms)m->conf.reach_ms, since - 1);
+	fg_ms reach = MAX(now - (fg_ms)m->conf.reachable_ms, since - 1);
 
 	if (!m->lease.ever_held)
 		return FG_STANDING_JOINING;
--- a/lib/member/fg_member_table.c
+++ b/lib/member/fg_member_table.c
@@ -34,12 +34,12 @@
 	return (uint32_t)MAX(ms, m->conf.scan_ms);
 }
 
-void fg_member_look(struct fg_member *m, fg_ms now)
+void fg_member_request_scan(struct fg_member *m, fg_ms now)
 {
 	m->scan_at = MIN(m->scan_at, now);
 }
 
-fg_ms fg_member_looked_at(const struct fg_member *m)
+fg_ms fg_member_scanned_at(const struct fg_member *m)
 {
 	return m->scanned_at;
 }
@@ -64,7 +64,8 @@
 	m->scan_busy = true;
 	m->scan++;
 	m->scan_at = now + scan_interval_ms(m);
-	fg_member_submit(m, now, fg_member_op(m, FG_OP_SCAN, FG_MEMBER_PREFIX),
+	fg_member_submit(m, now,
+			 fg_member_op(m, FG_OP_SCAN, FG_MEMBER_KEY_PREFIX),
 			 &mop);
 }
 
@@ -114,7 +115,7 @@
 	}
 	m->gets++;
 	e->op_busy = true;
-	key = g_strconcat(FG_MEMBER_PREFIX, e->view.info.name, NULL);
+	key = g_strconcat(FG_MEMBER_KEY_PREFIX, e->view.info.name, NULL);
 	fg_member_submit(m, now, fg_member_op(m, FG_OP_GET, key), &mop);
 }
 
--- a/lib/node/fg_node.c
+++ b/lib/node/fg_node.c
@@ -216,7 +216,7 @@
 size_t fg_node_region_peers(struct fg_node *n, uint64_t *ids, size_t max)
 {
 	const char *region = n->conf.member.self.region;
-	size_t total = fg_member_live(n->member, region, ids, max);
+	size_t total = fg_member_list_live(n->member, region, ids, max);
 
 	return without_self(n, ids, MIN(total, max));
 }
@@ -224,7 +224,7 @@
 size_t fg_node_region_present(struct fg_node *n, uint64_t *ids, size_t max)
 {
 	const char *region = n->conf.member.self.region;
-	size_t total = fg_member_present(n->member, region, ids, max);
+	size_t total = fg_member_list_present(n->member, region, ids, max);
 
 	return without_self(n, ids, MIN(total, max));
 }
@@ -294,10 +294,10 @@
 static void tell_live(struct fg_node *n)
 {
 	uint64_t ids[PEERS_MAX];
-	size_t total = fg_member_live(n->member, NULL, ids, PEERS_MAX);
+	size_t total = fg_member_list_live(n->member, NULL, ids, PEERS_MAX);
 	size_t kept = without_self(n, ids, MIN(total, PEERS_MAX));
 
-	fg_confsync_set_live_at(n->confsync, fg_member_looked_at(n->member),
+	fg_confsync_set_live_at(n->confsync, fg_member_scanned_at(n->member),
 				ids, kept);
 }
 
--- a/lib/node/fg_node_address.c
+++ b/lib/node/fg_node_address.c
@@ -63,9 +63,9 @@
 static void add_spread(struct address_list *list, const char *key)
 {
 	uint64_t ids[256];
-	size_t total = fg_member_live(list->n->member,
-				      list->n->conf.member.self.region, ids,
-				      G_N_ELEMENTS(ids));
+	size_t total = fg_member_list_live(list->n->member,
+					   list->n->conf.member.self.region,
+					   ids, G_N_ELEMENTS(ids));
 	uint64_t seed = fg_hash_str(key);
 	size_t start;
 
--- a/lib/node/fg_node_dump.c
+++ b/lib/node/fg_node_dump.c
@@ -12,7 +12,7 @@
 		[FG_PEER_DEAD] = "dead",
 	};
 	uint64_t ids[LIST_MAX];
-	size_t total = fg_member_live(n->member, NULL, ids, LIST_MAX);
+	size_t total = fg_member_list_live(n->member, NULL, ids, LIST_MAX);
 	json_t *out = json_object();
 
 	for (size_t i = 0; i < MIN(total, LIST_MAX); i++) {
@@ -218,7 +218,7 @@
 		(int)MIN(fg_confsync_confirm_age(n->confsync, now), INT32_MAX),
 		"preset", fg_config_preset(n->config)->name, "ledger_pending",
 		(int)fg_ledger_pending(n->ledger), "said_region_size",
-		(int)fg_member_said_size(n->member));
+		(int)fg_member_advertised_size(n->member));
 	json_object_set_new(out, "members", dump_members(n));
 	if (fg_confsync_fault(n->confsync) != NULL)
 		json_object_set_new(
--- a/lib/node/fg_node_resident.c
+++ b/lib/node/fg_node_resident.c
@@ -50,7 +50,7 @@
 static void tell_other_regions(struct fg_node *n, struct fg_own *own)
 {
 	uint64_t ids[PEERS_MAX];
-	size_t total = fg_member_live(n->member, NULL, ids, PEERS_MAX);
+	size_t total = fg_member_list_live(n->member, NULL, ids, PEERS_MAX);
 
 	if (total > REMOTE_PEERS_MAX)
 		return;
--- a/lib/node/fg_node_stop.c
+++ b/lib/node/fg_node_stop.c
@@ -49,7 +49,7 @@
 		return;
 	n->quit_begun = n->now;
 	n->quit_epoch = fg_member_epoch(n->member);
-	fg_member_quit(n->member, n->now, fg_wire_member, n);
+	fg_member_release_lease(n->member, n->now, fg_wire_member, n);
 }
 
 void fg_node_stop(struct fg_node *n, fg_ms now)
--- a/lib/node/fg_node_wire.c
+++ b/lib/node/fg_node_wire.c
@@ -176,7 +176,7 @@
 		break;
 	case FG_CS_CHANGED:
 		if (n->open_changes > 0)
-			fg_member_look(n->member, n->now);
+			fg_member_request_scan(n->member, n->now);
 		config_changed(n);
 		break;
 	case FG_CS_ANSWER:
--- a/lib/owner/fg_owner.h
+++ b/lib/owner/fg_owner.h
@@ -7,7 +7,7 @@
  * and is changed only by compare-and-set on its row version. An instance claims
  * an endpoint of its own region when it is the candidate and the row is absent,
  * handed over (owner 0), or held by an instance whose lease row is gone
- * (fg_member_gone()). An instance that lost its own lease claims its former
+ * (fg_member_is_gone()). An instance that lost its own lease claims its former
  * keys again. When the candidate does not claim for FG_OWNER_FALLBACK_MS, any
  * instance of the region may. The load broker of a region and base model is
  * owned in the same way, under its own key.
--- a/lib/owner/fg_owner_claim.c
+++ b/lib/owner/fg_owner_claim.c
@@ -22,7 +22,7 @@
 	 * dates from before the lease was lost, or a claim took effect late. */
 	if (k->state == FG_OWN_OTHER)
 		return k->owner == o->conf.self ||
-		       fg_member_gone(o->member, k->owner, k->known_since);
+		       fg_member_is_gone(o->member, k->owner, k->known_since);
 	return false;
 }
 
--- a/lib/run/fg_run.c
+++ b/lib/run/fg_run.c
@@ -73,7 +73,7 @@
 	m->ping_ms = s->timing.ping_ms;
 	m->suspect_ms = s->timing.suspect_ms;
 	m->confirm_ms = s->timing.confirm_ms;
-	m->fanout = s->limits.ping_fanout;
+	m->ping_fanout = s->limits.ping_fanout;
 }
 
 static void fill_switches(struct fg_node_switches *out,
--- a/tests/bench/slopes_world.c
+++ b/tests/bench/slopes_world.c
@@ -29,8 +29,8 @@
 		struct fg_lease_row row = { .boot = (uint64_t)i + 1,
 					    .info = w->nodes[i] };
 		g_autofree char *value = fg_lease_row_encode(&row);
-		g_autofree char *key =
-			g_strconcat(FG_MEMBER_PREFIX, w->nodes[i].name, NULL);
+		g_autofree char *key = g_strconcat(FG_MEMBER_KEY_PREFIX,
+						   w->nodes[i].name, NULL);
 
 		w->read_bytes += table_row(
 			res, key, i == 0 ? w->own_version : ++w->version,
@@ -64,11 +64,11 @@
 		for (size_t i = 0; i < op->n_writes; i++)
 			fg_table_result_row(res, op->writes[i].key,
 					    ++w->version, NULL);
-		if (g_str_has_prefix(op->writes[0].key, FG_MEMBER_PREFIX))
+		if (g_str_has_prefix(op->writes[0].key, FG_MEMBER_KEY_PREFIX))
 			w->own_version = w->version;
 	} else if (op->kind == FG_OP_SCAN) {
 		w->reads++;
-		if (strcmp(op->key, FG_MEMBER_PREFIX) == 0)
+		if (strcmp(op->key, FG_MEMBER_KEY_PREFIX) == 0)
 			scan_sessions(w, res);
 		else
 			scan_owners(w, res);
--- a/tests/unit/cluster.c
+++ b/tests/unit/cluster.c
@@ -21,13 +21,13 @@
 	fg_ms at;
 	uint64_t number;
 	enum event_type type;
-	struct node *node; /* where it happens */
-	uint64_t node_id;  /* the node may have been replaced since */
+	struct instance *node; /* where it happens */
+	uint64_t node_id;      /* the node may have been replaced since */
 	struct fg_table_op *op;
 	struct fg_table_result *res;
 	fg_msg *msg;
 	uint64_t from;
-	struct node *from_node;
+	struct instance *from_node;
 	int from_side;
 };
 
@@ -50,7 +50,7 @@
 }
 
 static struct event *post(struct cluster *c, fg_ms at, enum event_type type,
-			  struct node *n)
+			  struct instance *n)
 {
 	struct event *ev = g_new0(struct event, 1);
 
@@ -83,14 +83,14 @@
 	return 1 + (fg_ms)fg_rand_below(&c->rand, 20);
 }
 
-fg_ms node_clock(const struct cluster *c, const struct node *n)
+fg_ms instance_clock(const struct cluster *c, const struct instance *n)
 {
 	return n->clock_offset + (fg_ms)((double)c->now * n->clock_rate);
 }
 
 /* ---- Table ---- */
 
-static void answer(struct cluster *c, struct node *n, uint64_t node_id,
+static void answer(struct cluster *c, struct instance *n, uint64_t node_id,
 		   struct fg_table_result *res, fg_ms after)
 {
 	struct event *ev = post(c, c->now + after, EV_RESULT, n);
@@ -107,7 +107,7 @@
 
 static void run_op(struct cluster *c, const struct event *ev)
 {
-	struct node *n = ev->node;
+	struct instance *n = ev->node;
 	bool reaches = c->now >= c->outage_until && !n->platform_cut;
 	struct fg_table_result *res;
 
@@ -118,8 +118,8 @@
 		       latency(c));
 		return;
 	}
-	res = cluster_table_run(c, ev->op);
-	if (chance(c, c->lost_share)) {
+	res = cluster_run_table_op(c, ev->op);
+	if (chance(c, c->lost_answer_share)) {
 		fg_table_result_free(res);
 		answer(c, n, ev->node_id, no_answer(ev->op, FG_PF_LOST),
 		       TIMEOUT_MS);
@@ -130,34 +130,35 @@
 
 /* ---- Nodes ---- */
 
-static struct node *node_by_id(struct cluster *c, uint64_t id)
+static struct instance *node_by_id(struct cluster *c, uint64_t id)
 {
-	for (int i = 0; i < c->n_nodes; i++)
-		if (c->nodes[i].alive && c->nodes[i].self.id == id)
-			return &c->nodes[i];
+	for (int i = 0; i < c->n_instances; i++)
+		if (c->instances[i].alive && c->instances[i].self.id == id)
+			return &c->instances[i];
 	return NULL;
 }
 
 struct call {
 	struct cluster *c;
-	struct node *n;
+	struct instance *n;
 };
 
-static void submit(struct cluster *c, struct node *n, struct fg_table_op *op)
+static void submit(struct cluster *c, struct instance *n,
+		   struct fg_table_op *op)
 {
 	struct event *ev = post(c, c->now + latency(c), EV_OP, n);
 
 	ev->op = op;
 }
 
-static void send_msg(struct cluster *c, struct node *n, uint64_t to,
+static void send_msg(struct cluster *c, struct instance *n, uint64_t to,
 		     fg_msg *msg)
 {
-	struct node *dest = node_by_id(c, to);
+	struct instance *dest = node_by_id(c, to);
 	struct event *ev;
 
 	n->sent_msgs++;
-	if (dest == NULL || chance(c, c->msg_loss)) {
+	if (dest == NULL || chance(c, c->lost_msg_share)) {
 		fg_msg_free(msg);
 		return;
 	}
@@ -165,7 +166,7 @@
 	ev->msg = msg;
 	ev->from = n->self.id;
 	ev->from_node = n;
-	ev->from_side = n->side;
+	ev->from_side = n->partition;
 }
 
 static void on_member_act(void *arg, struct fg_member_act *act)
@@ -248,50 +249,51 @@
 	}
 }
 
-static void tick(struct cluster *c, struct node *n)
+static void tick(struct cluster *c, struct instance *n)
 {
 	struct call call = { .c = c, .n = n };
-	fg_ms now = node_clock(c, n);
+	fg_ms now = instance_clock(c, n);
 
-	fg_member_tick(n->m, now, on_member_act, &call);
-	fg_owner_tick(n->o, now, on_owner_act, &call);
+	fg_member_tick(n->member, now, on_member_act, &call);
+	fg_owner_tick(n->owner, now, on_owner_act, &call);
 	post(c, c->now + TICK_MS, EV_TICK, n);
 }
 
-static void list(struct cluster *c, struct node *n)
+static void list(struct cluster *c, struct instance *n)
 {
 	struct call call = { .c = c, .n = n };
-	struct fg_listed listed[NODES_MAX];
+	struct fg_listed listed[INSTANCES_MAX];
 	size_t count = 0;
 	bool down = c->now < c->outage_until || n->platform_cut;
 
-	for (int i = 0; i < c->n_nodes && !down; i++)
-		if (c->nodes[i].alive)
-			listed[count++] = c->nodes[i].self;
-	fg_member_on_list(n->m, node_clock(c, n), down ? FG_PF_DOWN : FG_PF_OK,
-			  listed, count, on_member_act, &call);
+	for (int i = 0; i < c->n_instances && !down; i++)
+		if (c->instances[i].alive)
+			listed[count++] = c->instances[i].self;
+	fg_member_on_list(n->member, instance_clock(c, n),
+			  down ? FG_PF_DOWN : FG_PF_OK, listed, count,
+			  on_member_act, &call);
 }
 
 static void deliver(struct cluster *c, struct event *ev)
 {
 	struct call call = { .c = c, .n = ev->node };
-	fg_ms now = node_clock(c, ev->node);
+	fg_ms now = instance_clock(c, ev->node);
 
 	switch (ev->type) {
 	case EV_TICK:
 		tick(c, ev->node);
 		break;
 	case EV_RESULT:
-		if (!fg_member_on_table(ev->node->m, now, ev->res,
+		if (!fg_member_on_table(ev->node->member, now, ev->res,
 					on_member_act, &call))
-			fg_owner_on_table(ev->node->o, now, ev->res,
+			fg_owner_on_table(ev->node->owner, now, ev->res,
 					  on_owner_act, &call);
 		break;
 	case EV_MSG:
-		if (ev->from_side == ev->node->side &&
-		    !c->pair_cut[ev->from_node->index][ev->node->index])
-			fg_member_on_msg(ev->node->m, now, ev->from, ev->msg,
-					 on_member_act, &call);
+		if (ev->from_side == ev->node->partition &&
+		    !c->link_cut[ev->from_node->index][ev->node->index])
+			fg_member_on_msg(ev->node->member, now, ev->from,
+					 ev->msg, on_member_act, &call);
 		break;
 	case EV_LIST:
 		list(c, ev->node);
@@ -301,75 +303,80 @@
 	}
 }
 
-struct node *cluster_join(struct cluster *c, const char *region)
+struct instance *cluster_join(struct cluster *c, const char *region)
 {
-	struct node *n = NULL;
+	struct instance *n = NULL;
 	struct fg_member_conf mc = c->conf;
 	struct fg_owner_conf oc = { .scan_ms = 2000, .retry_ms = 300 };
 
-	for (int i = 0; i < NODES_MAX && n == NULL; i++)
-		if (!c->nodes[i].alive)
-			n = &c->nodes[i];
+	for (int i = 0; i < INSTANCES_MAX && n == NULL; i++)
+		if (!c->instances[i].alive)
+			n = &c->instances[i];
 	if (n == NULL)
 		return NULL;
-	c->n_nodes = MAX(c->n_nodes, (int)(n - c->nodes) + 1);
+	c->n_instances = MAX(c->n_instances, (int)(n - c->instances) + 1);
 	memset(n, 0, sizeof(*n));
-	n->index = (int)(n - c->nodes);
+	n->index = (int)(n - c->instances);
 	n->alive = true;
-	g_snprintf(n->self.name, sizeof(n->self.name), "entry-%d", c->names++);
+	g_snprintf(n->self.name, sizeof(n->self.name), "entry-%d",
+		   c->names_given++);
 	n->self.id = fg_hash_str(n->self.name);
 	n->self.kind = FG_LISTED_ENTRY;
 	g_strlcpy(n->self.region, region, sizeof(n->self.region));
 	g_strlcpy(n->self.dc, "dc-1", sizeof(n->self.dc));
 	g_snprintf(n->self.rpc, sizeof(n->self.rpc), "10.0.0.1:%d",
-		   chance(c, c->new_address_share) ? NODES_MAX + c->names
-						   : n->index);
+		   chance(c, c->new_address_share)
+			   ? INSTANCES_MAX + c->names_given
+			   : n->index);
 	n->clock_offset = (fg_ms)fg_rand_below(&c->rand, 100000000);
 	n->clock_rate = 1 + DRIFT * (2 * fg_rand_unit(&c->rand) - 1);
 	mc.self = n->self;
 	mc.boot = fg_rand_next(&c->rand);
 	oc.self = n->self.id;
-	n->m = fg_member_new(&mc, fg_rand_next(&c->rand));
-	n->o = fg_owner_new(&oc, n->m, fg_rand_next(&c->rand));
+	n->member = fg_member_new(&mc, fg_rand_next(&c->rand));
+	n->owner = fg_owner_new(&oc, n->member, fg_rand_next(&c->rand));
 	for (int i = 0; i < c->n_keys; i++)
-		fg_owner_set_key(n->o, c->keys[i], c->key_region[i], "dc-1",
+		fg_owner_set_key(n->owner, c->keys[i], c->key_region[i], "dc-1",
 				 false);
 	post(c, c->now + (fg_ms)fg_rand_below(&c->rand, TICK_MS), EV_TICK, n);
 	return n;
 }
 
-void cluster_kill(struct cluster *c, struct node *n)
+void cluster_kill(struct cluster *c, struct instance *n)
 {
 	(void)c;
 	n->alive = false;
-	fg_owner_free(n->o);
-	fg_member_free(n->m);
-	n->o = NULL;
-	n->m = NULL;
+	fg_owner_free(n->owner);
+	fg_member_free(n->member);
+	n->owner = NULL;
+	n->member = NULL;
 }
 
-void cluster_leave(struct cluster *c, struct node *n)
+void cluster_leave(struct cluster *c, struct instance *n)
 {
 	struct call call = { .c = c, .n = n };
 
-	fg_member_leave(n->m, node_clock(c, n), on_member_act, &call);
-	fg_owner_release_all(n->o, node_clock(c, n), on_owner_act, &call);
+	fg_member_leave(n->member, instance_clock(c, n), on_member_act, &call);
+	fg_owner_release_all(n->owner, instance_clock(c, n), on_owner_act,
+			     &call);
 }
 
-void cluster_quit(struct cluster *c, struct node *n)
+void cluster_release_lease(struct cluster *c, struct instance *n)
 {
 	struct call call = { .c = c, .n = n };
 
-	fg_member_quit(n->m, node_clock(c, n), on_member_act, &call);
+	fg_member_release_lease(n->member, instance_clock(c, n), on_member_act,
+				&call);
 }
 
-void cluster_intent(struct cluster *c, struct node *n, int k, uint64_t id)
+void cluster_store_intent(struct cluster *c, struct instance *n, int k,
+			  uint64_t id)
 {
 	struct call call = { .c = c, .n = n };
 	struct fg_intent in = { .id = id, .slot = 1, .av = { 7, 1 } };
 
 	in.life_ms = 1000;
-	fg_owner_store_intent(n->o, node_clock(c, n), c->keys[k], &in,
+	fg_owner_store_intent(n->owner, instance_clock(c, n), c->keys[k], &in,
 			      on_owner_act, &call);
 }
 
@@ -397,9 +404,9 @@
 	c->conf.ping_ms = 300;
 	c->conf.suspect_ms = 800;
 	c->conf.confirm_ms = 1500;
-	c->conf.fanout = 3;
+	c->conf.ping_fanout = 3;
 	c->conf.pause_ms = 400;
-	c->check = true;
+	c->abort_on_overlap = true;
 	return c;
 }
 
@@ -413,55 +420,55 @@
 
 void cluster_free(struct cluster *c)
 {
-	for (int i = 0; i < c->n_nodes; i++)
-		if (c->nodes[i].alive)
-			cluster_kill(c, &c->nodes[i]);
+	for (int i = 0; i < c->n_instances; i++)
+		if (c->instances[i].alive)
+			cluster_kill(c, &c->instances[i]);
 	g_tree_foreach(c->events, free_event, NULL);
 	g_tree_destroy(c->events);
 	g_tree_destroy(c->table);
 	g_free(c);
 }
 
-struct node *cluster_actor(struct cluster *c, int k)
+struct instance *cluster_acting_owner(struct cluster *c, int k)
 {
-	struct node *actor = NULL;
+	struct instance *actor = NULL;
 
-	for (int i = 0; i < c->n_nodes; i++) {
-		struct node *n = &c->nodes[i];
+	for (int i = 0; i < c->n_instances; i++) {
+		struct instance *n = &c->instances[i];
 
-		if (!n->alive ||
-		    !fg_owner_may_act(n->o, c->keys[k], node_clock(c, n)))
+		if (!n->alive || !fg_owner_may_act(n->owner, c->keys[k],
+						   instance_clock(c, n)))
 			continue;
 		if (actor != NULL)
 			c->overlaps++;
-		g_assert(actor == NULL || !c->check);
+		g_assert(actor == NULL || !c->abort_on_overlap);
 		actor = n;
 	}
 	return actor;
 }
 
-int cluster_live(struct cluster *c, const char *region)
+int cluster_count_live(struct cluster *c, const char *region)
 {
 	int live = 0;
 
-	for (int i = 0; i < c->n_nodes; i++)
-		if (c->nodes[i].alive &&
-		    strcmp(c->nodes[i].self.region, region) == 0)
+	for (int i = 0; i < c->n_instances; i++)
+		if (c->instances[i].alive &&
+		    strcmp(c->instances[i].self.region, region) == 0)
 			live++;
 	return live;
 }
 
-bool cluster_all_owned(struct cluster *c)
+bool cluster_all_keys_owned(struct cluster *c)
 {
 	for (int k = 0; k < c->n_keys; k++)
-		if (cluster_actor(c, k) == NULL)
+		if (cluster_acting_owner(c, k) == NULL)
 			return false;
 	return true;
 }
 
 static void step(struct cluster *c, struct event *ev)
 {
-	struct node *n = ev->node;
+	struct instance *n = ev->node;
 	bool gone = !n->alive || n->self.id != ev->node_id;
 
 	if (ev->type == EV_OP) {
@@ -479,7 +486,7 @@
 	event_free(ev);
 }
 
-void cluster_run(struct cluster *c, fg_ms until)
+void cluster_run_until(struct cluster *c, fg_ms until)
 {
 	fg_ms checked = 0;
 
@@ -496,22 +503,22 @@
 		step(c, ev);
 		if (c->now - checked >= 5) {
 			checked = c->now;
-			cluster_all_owned(c);
+			cluster_all_keys_owned(c);
 		}
 	}
 	c->now = until;
 }
 
-void cluster_heal(struct cluster *c)
+void cluster_clear_faults(struct cluster *c)
 {
 	c->outage_until = 0;
-	c->lost_share = 0;
+	c->lost_answer_share = 0;
 	c->slow_share = 0;
-	c->msg_loss = 0;
-	memset(c->pair_cut, 0, sizeof(c->pair_cut));
-	for (int i = 0; i < c->n_nodes; i++) {
-		c->nodes[i].paused_until = 0;
-		c->nodes[i].platform_cut = false;
-		c->nodes[i].side = 0;
+	c->lost_msg_share = 0;
+	memset(c->link_cut, 0, sizeof(c->link_cut));
+	for (int i = 0; i < c->n_instances; i++) {
+		c->instances[i].paused_until = 0;
+		c->instances[i].platform_cut = false;
+		c->instances[i].partition = 0;
 	}
 }
--- a/tests/unit/cluster_table.c
+++ b/tests/unit/cluster_table.c
@@ -75,8 +75,8 @@
 	return FALSE;
 }
 
-struct fg_table_result *cluster_table_run(struct cluster *c,
-					  const struct fg_table_op *op)
+struct fg_table_result *cluster_run_table_op(struct cluster *c,
+					     const struct fg_table_op *op)
 {
 	struct fg_table_result *res =
 		fg_table_result_new(op->id, op->kind, FG_PF_OK);
@@ -117,10 +117,10 @@
 	return FALSE;
 }
 
-int cluster_dead_rows(struct cluster *c, const char *region)
+int cluster_count_dead_rows(struct cluster *c, const char *region)
 {
 	struct row_count count = { .region = region };
 
 	g_tree_foreach(c->table, count_row, &count);
-	return count.rows - cluster_live(c, region);
+	return count.rows - cluster_count_live(c, region);
 }
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -10,20 +10,21 @@
 
 	for (int i = 0; i < n; i++)
 		cluster_join(c, "coast");
-	cluster_run(c, 8000);
+	cluster_run_until(c, 8000);
 	return c;
 }
 
 static enum fg_standing standing(const struct cluster *c, int i)
 {
-	const struct node *n = &c->nodes[i];
+	const struct instance *n = &c->instances[i];
 
-	return fg_member_standing(n->m, node_clock(c, n));
+	return fg_member_standing(n->member, instance_clock(c, n));
 }
 
 static enum fg_peer_state state(const struct cluster *c, int of, uint64_t id)
 {
-	const struct fg_peer_view *v = fg_member_find(c->nodes[of].m, id);
+	const struct fg_peer_view *v =
+		fg_member_find(c->instances[of].member, id);
 
 	return v != NULL ? v->state : 0;
 }
@@ -35,13 +36,14 @@
 
 	for (int i = 0; i < 9; i++) {
 		g_assert_cmpint(standing(c, i), ==, FG_STANDING_CONFIRMED);
-		g_assert_cmpuint(
-			fg_member_live(c->nodes[i].m, "coast", ids, 16), ==, 9);
-		g_assert_cmpuint(
-			fg_member_candidate(c->nodes[i].m, 42, "coast", "dc-1"),
-			==,
-			fg_member_candidate(c->nodes[0].m, 42, "coast",
-					    "dc-1"));
+		g_assert_cmpuint(fg_member_list_live(c->instances[i].member,
+						     "coast", ids, 16),
+				 ==, 9);
+		g_assert_cmpuint(fg_member_candidate(c->instances[i].member, 42,
+						     "coast", "dc-1"),
+				 ==,
+				 fg_member_candidate(c->instances[0].member, 42,
+						     "coast", "dc-1"));
 	}
 	cluster_free(c);
 }
@@ -50,10 +52,10 @@
 static void test_death(void)
 {
 	struct cluster *c = start(2, 9);
-	uint64_t id = c->nodes[4].self.id;
+	uint64_t id = c->instances[4].self.id;
 
-	cluster_kill(c, &c->nodes[4]);
-	cluster_run(c, c->now + 12000);
+	cluster_kill(c, &c->instances[4]);
+	cluster_run_until(c, c->now + 12000);
 	g_assert_cmpint(g_tree_nnodes(c->table), ==, 8);
 	for (int i = 0; i < 9; i++)
 		if (i != 4)
@@ -61,20 +63,20 @@
 	cluster_free(c);
 }
 
-/* A lapsed row goes only reach_ms after its deleter had its quorum. */
+/* A lapsed row goes only reachable_ms after its deleter had its quorum. */
 static void test_deletion_waits(void)
 {
 	struct cluster *c = start(13, 6);
-	uint64_t id = c->nodes[5].self.id;
+	uint64_t id = c->instances[5].self.id;
 	fg_ms proven[5] = { 0 };
 	fg_ms longest_ms = 0;
 
-	cluster_kill(c, &c->nodes[5]);
+	cluster_kill(c, &c->instances[5]);
 	while (g_tree_nnodes(c->table) == 6 && c->now < 60000) {
-		cluster_run(c, c->now + 10);
+		cluster_run_until(c, c->now + 10);
 		for (int i = 0; i < 5; i++) {
 			struct fg_peer_entry *e =
-				fg_member_entry(c->nodes[i].m, id);
+				fg_member_entry(c->instances[i].member, id);
 
 			if (e->proven_at != 0)
 				proven[i] = e->proven_at;
@@ -82,9 +84,9 @@
 	}
 	for (int i = 0; i < 5; i++)
 		if (proven[i] != 0)
-			longest_ms =
-				MAX(longest_ms,
-				    node_clock(c, &c->nodes[i]) - proven[i]);
+			longest_ms = MAX(longest_ms,
+					 instance_clock(c, &c->instances[i]) -
+						 proven[i]);
 	g_assert_cmpint(g_tree_nnodes(c->table), ==, 5);
 	g_assert_cmpint(longest_ms, >=, c->conf.lease_ms * 2 / 3);
 	cluster_free(c);
@@ -96,13 +98,13 @@
 	struct cluster *c = start(14, 3);
 	fg_ms contact;
 
-	c->nodes[0].platform_cut = true;
-	c->nodes[1].platform_cut = true;
-	c->pair_cut[0][2] = true;
-	c->pair_cut[2][0] = true;
-	cluster_run(c, c->now + 10000);
-	contact = fg_member_contact(c->nodes[0].m);
-	g_assert_cmpint(node_clock(c, &c->nodes[0]) - contact, <, 3000);
+	c->instances[0].platform_cut = true;
+	c->instances[1].platform_cut = true;
+	c->link_cut[0][2] = true;
+	c->link_cut[2][0] = true;
+	cluster_run_until(c, c->now + 10000);
+	contact = fg_member_contact(c->instances[0].member);
+	g_assert_cmpint(instance_clock(c, &c->instances[0]) - contact, <, 3000);
 	cluster_free(c);
 }
 
@@ -110,14 +112,14 @@
 static void test_leave_and_quit(void)
 {
 	struct cluster *c = start(3, 5);
-	uint64_t id = c->nodes[0].self.id;
+	uint64_t id = c->instances[0].self.id;
 
-	cluster_leave(c, &c->nodes[0]);
-	cluster_run(c, c->now + 100);
+	cluster_leave(c, &c->instances[0]);
+	cluster_run_until(c, c->now + 100);
 	for (int i = 1; i < 5; i++)
 		g_assert_cmpint(state(c, i, id), ==, FG_PEER_LEAVING);
-	cluster_quit(c, &c->nodes[0]);
-	cluster_run(c, c->now + 1500);
+	cluster_release_lease(c, &c->instances[0]);
+	cluster_run_until(c, c->now + 1500);
 	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_ISOLATED);
 	for (int i = 1; i < 5; i++)
 		g_assert_cmpint(state(c, i, id), ==, FG_PEER_DEAD);
@@ -129,10 +131,10 @@
 	struct cluster *c = start(4, 6);
 
 	c->outage_until = c->now + 60000;
-	cluster_run(c, c->now + 50000);
+	cluster_run_until(c, c->now + 50000);
 	for (int i = 0; i < 6; i++)
 		g_assert_cmpint(standing(c, i), ==, FG_STANDING_OUTAGE);
-	cluster_run(c, c->now + 15000);
+	cluster_run_until(c, c->now + 15000);
 	for (int i = 0; i < 6; i++)
 		g_assert_cmpint(standing(c, i), ==, FG_STANDING_CONFIRMED);
 	cluster_free(c);
@@ -143,12 +145,12 @@
 {
 	struct cluster *c = start(5, 6);
 
-	c->nodes[0].platform_cut = true;
-	cluster_run(c, c->now + 3500);
+	c->instances[0].platform_cut = true;
+	cluster_run_until(c, c->now + 3500);
 	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_ISOLATED);
 	g_assert_cmpint(standing(c, 1), ==, FG_STANDING_CONFIRMED);
-	cluster_heal(c);
-	cluster_run(c, c->now + 8000);
+	cluster_clear_faults(c);
+	cluster_run_until(c, c->now + 8000);
 	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_CONFIRMED);
 	cluster_free(c);
 }
@@ -159,9 +161,9 @@
 	struct cluster *c = start(6, 6);
 
 	c->outage_until = c->now + 60000;
-	c->nodes[0].side = 1;
-	c->nodes[1].side = 1;
-	cluster_run(c, c->now + 20000);
+	c->instances[0].partition = 1;
+	c->instances[1].partition = 1;
+	cluster_run_until(c, c->now + 20000);
 	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_ISOLATED);
 	g_assert_cmpint(standing(c, 1), ==, FG_STANDING_ISOLATED);
 	for (int i = 2; i < 6; i++)
@@ -172,13 +174,13 @@
 static void test_pause(void)
 {
 	struct cluster *c = start(7, 4);
-	struct node *n = &c->nodes[2];
+	struct instance *n = &c->instances[2];
 
 	n->paused_until = c->now + 1200;
-	cluster_run(c, c->now + 600);
+	cluster_run_until(c, c->now + 600);
 	/* Seen from within, before its first tick after the pause. */
 	g_assert_cmpint(standing(c, 2), ==, FG_STANDING_ISOLATED);
-	cluster_run(c, c->now + 3000);
+	cluster_run_until(c, c->now + 3000);
 	g_assert_cmpint(standing(c, 2), ==, FG_STANDING_CONFIRMED);
 	cluster_free(c);
 }
@@ -191,12 +193,12 @@
 
 	c->new_address_share = 1;
 	for (int i = 0; i < 3; i++)
-		cluster_kill(c, &c->nodes[i]);
+		cluster_kill(c, &c->instances[i]);
 	for (int i = 0; i < 3; i++)
 		cluster_join(c, "coast");
-	cluster_run(c, c->now + 20000);
+	cluster_run_until(c, c->now + 20000);
 	g_assert_cmpint(g_tree_nnodes(c->table), ==, 6);
-	cluster_run(c, c->now + 30000);
+	cluster_run_until(c, c->now + 30000);
 	g_assert_cmpint(g_tree_nnodes(c->table), ==, 3);
 	for (int i = 0; i < 3; i++)
 		g_assert_cmpint(standing(c, i), ==, FG_STANDING_CONFIRMED);
@@ -210,11 +212,11 @@
 	struct cluster *c = start(12, 2);
 
 	for (int i = 0; i < 8; i++) {
-		cluster_kill(c, &c->nodes[0]);
+		cluster_kill(c, &c->instances[0]);
 		cluster_join(c, "coast");
-		cluster_run(c, c->now + 500);
+		cluster_run_until(c, c->now + 500);
 	}
-	cluster_run(c, c->now + 10000);
+	cluster_run_until(c, c->now + 10000);
 	g_assert_cmpint(g_tree_nnodes(c->table), ==, 2);
 	cluster_free(c);
 }
@@ -226,9 +228,9 @@
 	c->outage_until = 10000;
 	for (int i = 0; i < 3; i++)
 		cluster_join(c, "coast");
-	cluster_run(c, 9000);
+	cluster_run_until(c, 9000);
 	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_JOINING);
-	cluster_run(c, 20000);
+	cluster_run_until(c, 20000);
 	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_CONFIRMED);
 	cluster_free(c);
 }
@@ -245,7 +247,7 @@
 	char *at = strstr(row->value, "\"boot\":");
 	g_assert_nonnull(at);
 	at[7] = at[7] == '1' ? '2' : '1';
-	cluster_run(c, c->now + 5000);
+	cluster_run_until(c, c->now + 5000);
 	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_ISOLATED);
 	cluster_free(c);
 }
@@ -258,7 +260,7 @@
 	c->no_versions = true;
 	for (int i = 0; i < 3; i++)
 		cluster_join(c, "coast");
-	cluster_run(c, 20000);
+	cluster_run_until(c, 20000);
 	for (int i = 0; i < 3; i++)
 		g_assert_cmpint(standing(c, i), ==, FG_STANDING_CONFIRMED);
 	cluster_free(c);
--- a/tests/unit/test_owner.c
+++ b/tests/unit/test_owner.c
@@ -18,8 +18,8 @@
 
 	for (int i = 0; i < n_nodes; i++)
 		cluster_join(c, "coast");
-	cluster_run(c, 10000);
-	g_assert_true(cluster_all_owned(c));
+	cluster_run_until(c, 10000);
+	g_assert_true(cluster_all_keys_owned(c));
 	return c;
 }
 
@@ -29,10 +29,10 @@
 	uint64_t before;
 
 	cluster_join(c, "coast");
-	cluster_run(c, 500);
+	cluster_run_until(c, 500);
 	before = c->table_writes;
-	cluster_run(c, 2500);
-	g_assert_true(cluster_all_owned(c));
+	cluster_run_until(c, 2500);
+	g_assert_true(cluster_all_keys_owned(c));
 	/* One write claims all keys; the others renew the lease. */
 	g_assert_cmpuint(c->table_writes - before, <=, 1 + 2000 / 700 + 1);
 	cluster_free(c);
@@ -41,15 +41,15 @@
 static void test_takeover(void)
 {
 	struct cluster *c = start_cluster(2, 5, 6);
-	struct node *n = cluster_actor(c, 0);
+	struct instance *n = cluster_acting_owner(c, 0);
 	uint64_t fence = c->last_fence[0];
 	fg_ms killed = c->now;
 
 	cluster_kill(c, n);
-	while (cluster_actor(c, 0) == NULL && c->now < killed + 20000)
-		cluster_run(c, c->now + 100);
+	while (cluster_acting_owner(c, 0) == NULL && c->now < killed + 20000)
+		cluster_run_until(c, c->now + 100);
 	g_test_message("owned again after %d ms", (int)(c->now - killed));
-	g_assert_nonnull(cluster_actor(c, 0));
+	g_assert_nonnull(cluster_acting_owner(c, 0));
 	g_assert_cmpuint(c->last_fence[0], >, fence);
 	cluster_free(c);
 }
@@ -65,18 +65,18 @@
 	c->new_address_share = 1;
 	for (int i = 0; i < 9; i++)
 		cluster_join(c, "coast");
-	cluster_run(c, 60000);
+	cluster_run_until(c, 60000);
 	for (int i = 0; i < 10; i++) {
-		struct node *n = cluster_actor(c, i % c->n_keys);
+		struct instance *n = cluster_acting_owner(c, i % c->n_keys);
 		fg_ms killed = c->now;
 
 		g_assert_nonnull(n);
 		cluster_kill(c, n);
-		while (!cluster_all_owned(c) && c->now < killed + 60000)
-			cluster_run(c, c->now + 100);
+		while (!cluster_all_keys_owned(c) && c->now < killed + 60000)
+			cluster_run_until(c, c->now + 100);
 		worst_ms = MAX(worst_ms, c->now - killed);
 		cluster_join(c, "coast");
-		cluster_run(c, c->now + 60000);
+		cluster_run_until(c, c->now + 60000);
 	}
 	g_test_message("all owned again after at most %d ms", (int)worst_ms);
 	g_assert_cmpint(worst_ms, <, 40000);
@@ -89,18 +89,19 @@
 static void test_killed_after_join(void)
 {
 	struct cluster *c = cluster_new(22, 4, 1);
-	struct node *n;
+	struct instance *n;
 	fg_ms killed;
 
 	fg_member_conf_defaults(&c->conf);
 	cluster_join(c, "coast");
 	cluster_join(c, "coast");
 	n = cluster_join(c, "coast");
-	cluster_run(c, c->now + c->conf.renew_ms * 3 / 4);
+	cluster_run_until(c, c->now + c->conf.renew_ms * 3 / 4);
 	cluster_kill(c, n);
 	killed = c->now;
-	while (cluster_dead_rows(c, "coast") > 0 && c->now < killed + 200000)
-		cluster_run(c, c->now + 100);
+	while (cluster_count_dead_rows(c, "coast") > 0 &&
+	       c->now < killed + 200000)
+		cluster_run_until(c, c->now + 100);
 	g_test_message("row gone after %d ms", (int)(c->now - killed));
 	g_assert_cmpint(c->now - killed, <, 4 * (fg_ms)c->conf.lease_ms);
 	cluster_free(c);
@@ -120,7 +121,7 @@
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
 		struct cluster *c = cluster_new(seed, 4, 1);
 		struct fg_rand rand;
-		struct node *n[4];
+		struct instance *n[4];
 		fg_ms killed;
 
 		fg_rand_seed(&rand, seed);
@@ -128,17 +129,18 @@
 		lease_ms = c->conf.lease_ms;
 		for (int i = 0; i < 4; i++) {
 			n[i] = cluster_join(c, "coast");
-			cluster_run(c,
-				    c->now + (fg_ms)fg_rand_below(&rand, 2000));
+			cluster_run_until(
+				c, c->now + (fg_ms)fg_rand_below(&rand, 2000));
 		}
-		cluster_run(c, c->now + c->conf.scan_ms);
+		cluster_run_until(c, c->now + c->conf.scan_ms);
 		cluster_kill(c, n[1]);
-		cluster_run(c, c->now + (fg_ms)fg_rand_below(&rand, 15000));
+		cluster_run_until(c,
+				  c->now + (fg_ms)fg_rand_below(&rand, 15000));
 		cluster_kill(c, n[0]);
 		killed = c->now;
-		while (cluster_dead_rows(c, "coast") > 0 &&
+		while (cluster_count_dead_rows(c, "coast") > 0 &&
 		       c->now < killed + 20 * lease_ms)
-			cluster_run(c, c->now + 100);
+			cluster_run_until(c, c->now + 100);
 		if (c->now - killed > worst_ms) {
 			worst_ms = c->now - killed;
 			worst_seed = seed;
@@ -153,18 +155,19 @@
 static void test_handover(void)
 {
 	struct cluster *c = start_cluster(3, 4, 6);
-	struct node *n = cluster_actor(c, 0);
+	struct instance *n = cluster_acting_owner(c, 0);
 	fg_ms asked = c->now;
 	uint64_t fence = c->last_fence[0];
 
 	cluster_leave(c, n);
-	g_assert_false(fg_owner_may_act(n->o, c->keys[0], node_clock(c, n)));
-	while (cluster_actor(c, 0) == NULL && c->now < asked + 20000)
-		cluster_run(c, c->now + 50);
+	g_assert_false(
+		fg_owner_may_act(n->owner, c->keys[0], instance_clock(c, n)));
+	while (cluster_acting_owner(c, 0) == NULL && c->now < asked + 20000)
+		cluster_run_until(c, c->now + 50);
 	g_assert_cmpint(c->now - asked, <, 5000);
 	g_assert_cmpuint(n->released, >, 0);
 	g_assert_cmpuint(c->last_fence[0], ==, fence + 1);
-	g_assert_true(cluster_actor(c, 0) != n);
+	g_assert_true(cluster_acting_owner(c, 0) != n);
 	cluster_free(c);
 }
 
@@ -178,25 +181,25 @@
 static void test_intents_stored(void)
 {
 	struct cluster *c = start_cluster(4, 3, 2);
-	struct node *n = cluster_actor(c, 0);
+	struct instance *n = cluster_acting_owner(c, 0);
 	g_autofree char *key = g_strdup_printf("owner/%016" PRIx64, c->keys[0]);
 	struct fg_owner_row row;
 	struct fg_row *stored;
 
-	cluster_intent(c, n, 0, 11);
-	cluster_intent(c, n, 0, 12);
-	cluster_run(c, c->now + 500);
+	cluster_store_intent(c, n, 0, 11);
+	cluster_store_intent(c, n, 0, 12);
+	cluster_run_until(c, c->now + 500);
 	g_assert_cmpuint(n->intents_ok, ==, 2);
-	fg_owner_remove_intent(n->o, c->keys[0], 11);
-	cluster_intent(c, n, 0, 13);
-	cluster_run(c, c->now + 500);
+	fg_owner_remove_intent(n->owner, c->keys[0], 11);
+	cluster_store_intent(c, n, 0, 13);
+	cluster_run_until(c, c->now + 500);
 	stored = g_tree_lookup(c->table, key);
 	g_assert_true(fg_owner_row_decode(stored->value, &row));
 	g_assert_cmpuint(row.n_intents, ==, 2);
 	g_assert_cmpuint(row.intents[0].id, ==, 12);
 	g_assert_cmpuint(row.intents[1].id, ==, 13);
 	cluster_kill(c, n);
-	cluster_run(c, c->now + 15000);
+	cluster_run_until(c, c->now + 15000);
 	/* Intents stay in the row until the new owner removes them. */
 	stored = g_tree_lookup(c->table, key);
 	g_assert_true(fg_owner_row_decode(stored->value, &row));
@@ -210,15 +213,15 @@
 static void test_intents_with_faults(void)
 {
 	struct cluster *c = start_cluster(5, 3, 1);
-	struct node *n = cluster_actor(c, 0);
+	struct instance *n = cluster_acting_owner(c, 0);
 
-	c->lost_share = 0.25;
+	c->lost_answer_share = 0.25;
 	for (uint64_t id = 1; id <= 40; id++) {
-		cluster_intent(c, n, 0, id);
-		cluster_run(c, c->now + 400);
-		fg_owner_remove_intent(n->o, c->keys[0], id);
+		cluster_store_intent(c, n, 0, id);
+		cluster_run_until(c, c->now + 400);
+		fg_owner_remove_intent(n->owner, c->keys[0], id);
 	}
-	cluster_run(c, c->now + 8000);
+	cluster_run_until(c, c->now + 8000);
 	g_assert_cmpuint(n->intents_ok + n->intents_failed, ==, 40);
 	g_assert_cmpuint(n->intents_ok, >, 10);
 	cluster_free(c);
@@ -227,16 +230,17 @@
 static void test_refused_intents(void)
 {
 	struct cluster *c = start_cluster(6, 3, 1);
-	struct node *n = cluster_actor(c, 0);
-	struct node *other = n == &c->nodes[0] ? &c->nodes[1] : &c->nodes[0];
+	struct instance *n = cluster_acting_owner(c, 0);
+	struct instance *other =
+		n == &c->instances[0] ? &c->instances[1] : &c->instances[0];
 
-	cluster_intent(c, other, 0, 1);
+	cluster_store_intent(c, other, 0, 1);
 	g_assert_cmpuint(other->intents_failed, ==, 1);
 	for (uint64_t id = 1; id <= FG_INTENTS_MAX; id++)
-		cluster_intent(c, n, 0, id);
-	cluster_intent(c, n, 0, 99);
+		cluster_store_intent(c, n, 0, id);
+	cluster_store_intent(c, n, 0, 99);
 	g_assert_cmpuint(n->intents_failed, ==, 1);
-	cluster_run(c, c->now + 500);
+	cluster_run_until(c, c->now + 500);
 	g_assert_cmpuint(n->intents_ok, ==, FG_INTENTS_MAX);
 	cluster_free(c);
 }
@@ -251,18 +255,18 @@
 static void test_ownership_hint(void)
 {
 	struct cluster *c = start_cluster(7, 2, 1);
-	struct node *n = cluster_actor(c, 0);
-	fg_ms now = node_clock(c, n);
+	struct instance *n = cluster_acting_owner(c, 0);
+	fg_ms now = instance_clock(c, n);
 	uint64_t owner;
 
-	fg_owner_on_hint(n->o, now, c->keys[0], 5, c->last_fence[0], ignore_act,
-			 NULL);
-	g_assert_true(fg_owner_may_act(n->o, c->keys[0], now));
-	fg_owner_on_hint(n->o, now, c->keys[0], 5, c->last_fence[0] + 1,
+	fg_owner_on_hint(n->owner, now, c->keys[0], 5, c->last_fence[0],
 			 ignore_act, NULL);
-	g_assert_false(fg_owner_may_act(n->o, c->keys[0], now));
-	g_assert_cmpint(fg_owner_get_state(n->o, c->keys[0], &owner, NULL), ==,
-			FG_OWN_OTHER);
+	g_assert_true(fg_owner_may_act(n->owner, c->keys[0], now));
+	fg_owner_on_hint(n->owner, now, c->keys[0], 5, c->last_fence[0] + 1,
+			 ignore_act, NULL);
+	g_assert_false(fg_owner_may_act(n->owner, c->keys[0], now));
+	g_assert_cmpint(fg_owner_get_state(n->owner, c->keys[0], &owner, NULL),
+			==, FG_OWN_OTHER);
 	g_assert_cmpuint(owner, ==, 5);
 	cluster_free(c);
 }
@@ -275,23 +279,24 @@
 static void test_paused_between_check_and_send(void)
 {
 	struct cluster *c = start_cluster(8, 4, 1);
-	struct node *n = cluster_actor(c, 0);
+	struct instance *n = cluster_acting_owner(c, 0);
 	uint64_t order_fence;
 
-	g_assert_true(fg_owner_may_act(n->o, c->keys[0], node_clock(c, n)));
-	fg_owner_get_state(n->o, c->keys[0], NULL, &order_fence);
+	g_assert_true(
+		fg_owner_may_act(n->owner, c->keys[0], instance_clock(c, n)));
+	fg_owner_get_state(n->owner, c->keys[0], NULL, &order_fence);
 	n->paused_until = c->now + 30000;
-	cluster_run(c, c->now + 29000);
-	g_assert_nonnull(cluster_actor(c, 0));
-	g_assert_true(cluster_actor(c, 0) != n);
+	cluster_run_until(c, c->now + 29000);
+	g_assert_nonnull(cluster_acting_owner(c, 0));
+	g_assert_true(cluster_acting_owner(c, 0) != n);
 	g_assert_cmpuint(order_fence, <, c->last_fence[0]);
 	cluster_free(c);
 }
 
 static void cut_pair(struct cluster *c, int a, int b, bool cut)
 {
-	c->pair_cut[a][b] = cut;
-	c->pair_cut[b][a] = cut;
+	c->link_cut[a][b] = cut;
+	c->link_cut[b][a] = cut;
 }
 
 /*
@@ -308,15 +313,15 @@
 	c->conf.suspect_ms = 20000;
 	for (int i = 0; i < 6; i++)
 		cluster_join(c, "coast");
-	cluster_run(c, 10000);
+	cluster_run_until(c, 10000);
 	for (int i = 0; i < 5; i++)
-		c->nodes[i].platform_cut = true;
+		c->instances[i].platform_cut = true;
 	for (int i = 0; i < 2; i++)
 		cut_pair(c, i, 5, true);
-	cluster_run(c, c->now + 30000);
-	g_assert_cmpint(c->nodes[0].standing, ==, FG_STANDING_ISOLATED);
+	cluster_run_until(c, c->now + 30000);
+	g_assert_cmpint(c->instances[0].standing, ==, FG_STANDING_ISOLATED);
 	for (int k = 0; k < c->n_keys; k++)
-		g_assert_true(cluster_actor(c, k) == &c->nodes[5]);
+		g_assert_true(cluster_acting_owner(c, k) == &c->instances[5]);
 	cluster_free(c);
 }
 
@@ -333,14 +338,14 @@
 	struct cluster *c = start_cluster(12, 6, 6);
 
 	for (int i = 0; i < 5; i++) {
-		c->nodes[i].platform_cut = true;
+		c->instances[i].platform_cut = true;
 		cut_pair(c, i, 5, true);
 	}
-	cluster_run(c, c->now + 30000);
-	g_assert_cmpint(c->nodes[0].standing, ==, FG_STANDING_OUTAGE);
-	cluster_heal(c);
-	cluster_run(c, c->now + 15000);
-	g_assert_true(cluster_all_owned(c));
+	cluster_run_until(c, c->now + 30000);
+	g_assert_cmpint(c->instances[0].standing, ==, FG_STANDING_OUTAGE);
+	cluster_clear_faults(c);
+	cluster_run_until(c, c->now + 15000);
+	g_assert_true(cluster_all_keys_owned(c));
 	cluster_free(c);
 }
 
@@ -353,27 +358,27 @@
 static void run_shrunken_region_case(uint64_t seed)
 {
 	struct cluster *c = cluster_new(seed, 1, 1);
-	struct node *node;
+	struct instance *node;
 	int a, x, other;
 
 	c->new_address_share = 1;
 	for (int i = 0; i < 3; i++)
 		cluster_join(c, "coast");
-	cluster_run(c, 10000);
-	node = cluster_actor(c, 0);
+	cluster_run_until(c, 10000);
+	node = cluster_acting_owner(c, 0);
 	g_assert_nonnull(node);
 	a = node->index;
 	x = (a + 1) % 3;
 	other = (a + 2) % 3;
-	c->nodes[x].platform_cut = true;
+	c->instances[x].platform_cut = true;
 	cut_pair(c, x, a, true);
 	cut_pair(c, x, other, true);
-	cluster_run(c, c->now + 4500 + (fg_ms)seed * 20);
+	cluster_run_until(c, c->now + 4500 + (fg_ms)seed * 20);
 	node->platform_cut = true;
-	cluster_run(c, c->now + 400);
+	cluster_run_until(c, c->now + 400);
 	cut_pair(c, a, other, true);
 	cut_pair(c, a, x, false);
-	cluster_run(c, c->now + 15000);
+	cluster_run_until(c, c->now + 15000);
 	cluster_free(c);
 }
 
@@ -391,23 +396,23 @@
 static void test_only_instance_of_region(void)
 {
 	struct cluster *c = cluster_new(11, 2, 2);
-	struct node *single = cluster_join(c, c->key_region[1]);
+	struct instance *single = cluster_join(c, c->key_region[1]);
 
 	c->new_address_share = 1;
 	for (int i = 0; i < 3; i++)
 		cluster_join(c, c->key_region[0]);
-	cluster_run(c, 10000);
-	g_assert_true(cluster_actor(c, 1) == single);
+	cluster_run_until(c, 10000);
+	g_assert_true(cluster_acting_owner(c, 1) == single);
 	c->outage_until = c->now + 20000;
-	cluster_run(c, c->now + 15000);
-	g_assert_true(cluster_actor(c, 1) == single);
-	cluster_run(c, c->now + 15000);
-	single->side = 1;
+	cluster_run_until(c, c->now + 15000);
+	g_assert_true(cluster_acting_owner(c, 1) == single);
+	cluster_run_until(c, c->now + 15000);
+	single->partition = 1;
 	single->platform_cut = true;
 	cluster_join(c, c->key_region[1]);
-	cluster_run(c, c->now + 20000);
-	g_assert_nonnull(cluster_actor(c, 1));
-	g_assert_true(cluster_actor(c, 1) != single);
+	cluster_run_until(c, c->now + 20000);
+	g_assert_nonnull(cluster_acting_owner(c, 1));
+	g_assert_true(cluster_acting_owner(c, 1) != single);
 	cluster_free(c);
 }
 
@@ -436,10 +441,10 @@
 
 /* ---- Seeded runs ---- */
 
-static struct node *pick_live_node(struct cluster *c)
+static struct instance *pick_live_node(struct cluster *c)
 {
-	struct node *n =
-		&c->nodes[fg_rand_below(&c->rand, (uint64_t)c->n_nodes)];
+	struct instance *n = &c->instances[fg_rand_below(
+		&c->rand, (uint64_t)c->n_instances)];
 
 	return n->alive ? n : NULL;
 }
@@ -449,11 +454,11 @@
 	uint64_t share = 1 + fg_rand_below(&c->rand, 9);
 	uint64_t cut_side = fg_rand_below(&c->rand, 2);
 
-	for (int i = 0; i < c->n_nodes; i++) {
-		struct node *n = &c->nodes[i];
+	for (int i = 0; i < c->n_instances; i++) {
+		struct instance *n = &c->instances[i];
 
-		n->side = fg_rand_below(&c->rand, 10) < share;
-		n->platform_cut = platform_too && n->side == (int)cut_side;
+		n->partition = fg_rand_below(&c->rand, 10) < share;
+		n->platform_cut = platform_too && n->partition == (int)cut_side;
 	}
 }
 
@@ -464,26 +469,26 @@
 	uint64_t share = 1 + fg_rand_below(&c->rand, 8);
 	uint64_t platform = fg_rand_below(&c->rand, 10);
 
-	for (int i = 0; i < c->n_nodes; i++) {
-		c->nodes[i].platform_cut =
+	for (int i = 0; i < c->n_instances; i++) {
+		c->instances[i].platform_cut =
 			fg_rand_below(&c->rand, 10) < platform;
 		for (int j = 0; j < i; j++) {
 			bool cut = fg_rand_below(&c->rand, 10) < share;
 
-			c->pair_cut[i][j] = cut;
-			c->pair_cut[j][i] = cut;
+			c->link_cut[i][j] = cut;
+			c->link_cut[j][i] = cut;
 		}
 	}
 }
 
 /* Replaces an instance by a new one, after a planned stop or a crash. */
-static void replace_node(struct cluster *c, struct node *n)
+static void replace_node(struct cluster *c, struct instance *n)
 {
 	const char *region = g_intern_string(n->self.region);
 
 	if (fg_rand_below(&c->rand, 2) == 0) {
 		cluster_leave(c, n);
-		cluster_run(c, c->now + 1500);
+		cluster_run_until(c, c->now + 1500);
 	}
 	cluster_kill(c, n);
 	cluster_join(c, region);
@@ -491,7 +496,7 @@
 
 static void inject_fault(struct cluster *c)
 {
-	struct node *n = pick_live_node(c);
+	struct instance *n = pick_live_node(c);
 	fg_ms length_ms = (fg_ms)fg_rand_below(&c->rand, 9000);
 
 	switch (fg_rand_below(&c->rand, 12)) {
@@ -499,13 +504,13 @@
 		c->outage_until = c->now + length_ms * 2;
 		break;
 	case 1:
-		c->lost_share = fg_rand_unit(&c->rand) / 2;
+		c->lost_answer_share = fg_rand_unit(&c->rand) / 2;
 		break;
 	case 2:
 		c->slow_share = fg_rand_unit(&c->rand) / 2;
 		break;
 	case 3:
-		c->msg_loss = fg_rand_unit(&c->rand) / 2;
+		c->lost_msg_share = fg_rand_unit(&c->rand) / 2;
 		break;
 	case 4:
 		if (n != NULL)
@@ -530,7 +535,7 @@
 		cut_pairs(c);
 		break;
 	default:
-		cluster_heal(c);
+		cluster_clear_faults(c);
 		break;
 	}
 }
@@ -538,11 +543,11 @@
 static void send_random_order(struct cluster *c)
 {
 	int k = (int)fg_rand_below(&c->rand, (uint64_t)c->n_keys);
-	struct node *n = cluster_actor(c, k);
+	struct instance *n = cluster_acting_owner(c, k);
 
 	if (n != NULL && n->paused_until <= c->now)
-		cluster_intent(c, n, k,
-			       fg_hash_mix(n->self.id, ++n->next_intent));
+		cluster_store_intent(c, n, k,
+				     fg_hash_mix(n->self.id, ++n->next_intent));
 }
 
 /* When two thirds of a region's rows or more belong to dead instances, the live
@@ -553,8 +558,8 @@
 	for (int k = 0; k < c->n_keys; k++) {
 		const char *region = c->key_region[k];
 
-		while (cluster_dead_rows(c, region) >=
-		       2 * cluster_live(c, region))
+		while (cluster_count_dead_rows(c, region) >=
+		       2 * cluster_count_live(c, region))
 			g_assert_nonnull(cluster_join(c, region));
 	}
 }
@@ -571,25 +576,26 @@
 	c->new_address_share = fg_rand_unit(&rand) / 2;
 	for (int i = 0, n = 3 + (int)fg_rand_below(&rand, 7); i < n; i++)
 		cluster_join(c, c->key_region[i % n_regions]);
-	cluster_run(c, 4000);
+	cluster_run_until(c, 4000);
 	for (int i = 0; i < 25; i++) {
 		uint64_t gap_ms = fg_rand_below(&rand, 5) == 0 ? 4000 : 500;
 
 		inject_fault(c);
 		for (int j = 0; j < 4; j++) {
-			cluster_run(c, c->now + (fg_ms)fg_rand_below(&rand,
-								     gap_ms));
+			cluster_run_until(c, c->now + (fg_ms)fg_rand_below(
+							      &rand, gap_ms));
 			send_random_order(c);
 		}
 	}
-	cluster_heal(c);
-	cluster_run(c, c->now + 5000);
+	cluster_clear_faults(c);
+	cluster_run_until(c, c->now + 5000);
 	restore_quorum(c);
 	/* A region whose instances were all replaced waits for ten leases. */
-	for (fg_ms end = c->now + 80000; c->now < end && !cluster_all_owned(c);)
-		cluster_run(c, c->now + 1000);
-	cluster_run(c, c->now + 15000);
-	if (!cluster_all_owned(c))
+	for (fg_ms end = c->now + 80000;
+	     c->now < end && !cluster_all_keys_owned(c);)
+		cluster_run_until(c, c->now + 1000);
+	cluster_run_until(c, c->now + 15000);
+	if (!cluster_all_keys_owned(c))
 		g_error("seed %" PRIu64 ": a key has no owner", seed);
 	cluster_free(c);
 }
