--- a/lib/member/fg_member.c
+++ b/lib/member/fg_member.c
@@ -1,11 +1,11 @@
-/* Life cycle, tick, the platform's list, and questions to the membership. */
+/* Life cycle, tick, the platform's list and queries. */
 #include "member/fg_member.h"
 
 #include <string.h>
 
 #include "member/fg_member_internal.h"
 
-#define LIST_BYTES 220 /* of one entry of the list in an answer, about */
+#define LIST_ENTRY_BYTES 220 /* of one entry in an answer, approximately */
 
 void fg_member_conf_defaults(struct fg_member_conf *conf)
 {
@@ -24,20 +24,20 @@
 	conf->pause_ms = 0;
 }
 
-static void derive(struct fg_member_conf *c)
+static void set_derived(struct fg_member_conf *conf)
 {
-	if (c->own_lease_ms == 0)
-		c->own_lease_ms = c->lease_ms - c->lease_ms / 6;
-	if (c->reachable_ms == 0)
-		c->reachable_ms = c->lease_ms * 2 / 3;
-	if (c->quorum_ping_ms == 0)
-		c->quorum_ping_ms = c->reachable_ms / 2;
-	if (c->pause_ms == 0)
-		c->pause_ms = 1000;
-	g_assert(c->own_lease_ms < c->lease_ms);
-	g_assert(c->quorum_ping_ms > 0 &&
-		 2 * c->quorum_ping_ms <= c->reachable_ms);
-	g_assert(c->renew_ms > 0 && c->renew_ms < c->own_lease_ms);
+	if (conf->own_lease_ms == 0)
+		conf->own_lease_ms = conf->lease_ms - conf->lease_ms / 6;
+	if (conf->reachable_ms == 0)
+		conf->reachable_ms = conf->lease_ms * 2 / 3;
+	if (conf->quorum_ping_ms == 0)
+		conf->quorum_ping_ms = conf->reachable_ms / 2;
+	if (conf->pause_ms == 0)
+		conf->pause_ms = 1000;
+	g_assert(conf->own_lease_ms < conf->lease_ms);
+	g_assert(conf->quorum_ping_ms > 0 &&
+		 2 * conf->quorum_ping_ms <= conf->reachable_ms);
+	g_assert(conf->renew_ms > 0 && conf->renew_ms < conf->own_lease_ms);
 }
 
 struct fg_member *fg_member_new(const struct fg_member_conf *conf,
@@ -47,14 +47,14 @@
 
 	m->conf = *conf;
 	m->conf.self.id = fg_hash_str(conf->self.name);
-	derive(&m->conf);
-	g_snprintf(m->key, sizeof(m->key), FG_MEMBER_KEY_PREFIX "%s",
-		   conf->self.name);
+	set_derived(&m->conf);
+	g_snprintf(m->lease_key, sizeof(m->lease_key),
+		   FG_MEMBER_KEY_PREFIX "%s", conf->self.name);
 	fg_rand_seed(&m->rand, seed);
 	m->peers = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					 g_free);
-	m->ops = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-				       g_free);
+	m->pending_ops = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+					       g_free, g_free);
 	m->ring = g_ptr_array_new();
 	m->standing = FG_STANDING_JOINING;
 	return m;
@@ -65,12 +65,12 @@
 	if (m == NULL)
 		return;
 	g_ptr_array_free(m->ring, TRUE);
-	g_hash_table_destroy(m->ops);
+	g_hash_table_destroy(m->pending_ops);
 	g_hash_table_destroy(m->peers);
 	g_free(m);
 }
 
-struct fg_peer_entry *fg_member_entry(struct fg_member *m, uint64_t id)
+struct fg_peer_entry *fg_member_find_entry(struct fg_member *m, uint64_t id)
 {
 	return g_hash_table_lookup(m->peers, &id);
 }
@@ -83,20 +83,20 @@
 	m->emit(m->arg, &act);
 }
 
-bool fg_member_same_region(const struct fg_member *m,
-			   const struct fg_peer_entry *e)
+bool fg_member_is_same_region(const struct fg_member *m,
+			      const struct fg_peer_entry *e)
 {
 	return strcmp(e->view.info.region, m->conf.self.region) == 0;
 }
 
 /* ---- Tick ---- */
 
-static int by_order(gconstpointer a, gconstpointer b)
+static int compare_ring_pos(gconstpointer a, gconstpointer b)
 {
 	const struct fg_peer_entry *x = *(const struct fg_peer_entry *const *)a;
 	const struct fg_peer_entry *y = *(const struct fg_peer_entry *const *)b;
 
-	return (x->order > y->order) - (x->order < y->order);
+	return (x->ring_pos > y->ring_pos) - (x->ring_pos < y->ring_pos);
 }
 
 static void rebuild_ring(struct fg_member *m)
@@ -112,20 +112,21 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct fg_peer_entry *e = value;
 
-		if (e->has_row && fg_member_same_region(m, e))
+		if (e->has_row && fg_member_is_same_region(m, e))
 			g_ptr_array_add(m->ring, e);
 	}
-	g_ptr_array_sort(m->ring, by_order);
+	g_ptr_array_sort(m->ring, compare_ring_pos);
 }
 
-/* Spreads the first rounds of instances that start together. */
-static void start(struct fg_member *m, fg_ms now)
+/* The random first ping spreads the ping rounds of instances that start
+ * together. */
+static void init_schedule(struct fg_member *m, fg_ms now)
 {
 	m->started = true;
 	m->resumed_at = now;
-	m->ping_at = now + (fg_ms)fg_rand_below(&m->rand, m->conf.ping_ms);
-	m->list_at = now;
-	m->scan_at = now;
+	m->next_ping_at = now + (fg_ms)fg_rand_below(&m->rand, m->conf.ping_ms);
+	m->next_list_at = now;
+	m->next_scan_at = now;
 	m->lease.next_at = now;
 }
 
@@ -135,19 +136,21 @@
 		return;
 	m->resumed_at = now;
 	m->lease.next_at = now;
-	m->survey_at = now;
-	m->survey_round = 0;
-	/* What we watched went unwatched meanwhile. */
+	m->next_quorum_ping_at = now;
+	m->quorum_ping_round = 0;
+	/* Rows were not watched during the pause. table_up_since restarts at
+	 * the next answer, so that the pause does not count towards a lapse. */
 	m->table_ok_at = 0;
 }
 
 static void list_tick(struct fg_member *m, fg_ms now)
 {
-	if (now < m->list_at)
+	if (now < m->next_list_at)
 		return;
-	m->list_at = now + MAX((fg_ms)m->conf.list_ms,
-			       (fg_ms)m->listed * LIST_BYTES * FG_MS_PER_S /
-				       FG_MEMBER_LIST_BYTES_PER_S);
+	m->next_list_at =
+		now + MAX((fg_ms)m->conf.list_ms,
+			  (fg_ms)m->n_listed * LIST_ENTRY_BYTES * FG_MS_PER_S /
+				  FG_MEMBER_LIST_BYTES_PER_S);
 	m->list_sent_at = now;
 	fg_member_emit_act(m, FG_MA_LIST, 0);
 }
@@ -158,34 +161,35 @@
 	m->emit = emit;
 	m->arg = arg;
 	if (!m->started)
-		start(m, now);
+		init_schedule(m, now);
 	else
 		detect_pause(m, now);
 	m->last_tick = now;
-	m->gets = 0;
-	/* Before anything else is emitted. */
-	fg_member_standing_tick(m, now);
+	m->tick_gets = 0;
+	/* After a pause ISOLATED must be emitted before any other action. */
+	fg_member_update_standing(m, now);
 	rebuild_ring(m);
 	fg_member_lease_tick(m, now);
-	if (m->quitting)
+	if (m->releasing)
 		return;
 	fg_member_scan_tick(m, now);
 	list_tick(m, now);
 	fg_member_ping_tick(m, now);
 	fg_member_peers_tick(m, now);
 	rebuild_ring(m);
-	fg_member_standing_tick(m, now);
+	fg_member_update_standing(m, now);
 }
 
 /* ---- The platform's list ---- */
 
-static void on_listed(struct fg_member *m, fg_ms now, const struct fg_listed *l)
+static void handle_list_entry(struct fg_member *m, fg_ms now,
+			      const struct fg_listed *l)
 {
 	struct fg_peer_entry *e;
 
 	if (l->kind != FG_LISTED_ENTRY || l->id == m->conf.self.id)
 		return;
-	e = fg_member_entry(m, l->id);
+	e = fg_member_find_entry(m, l->id);
 	if (e == NULL) {
 		fg_member_scan_soon(m, now);
 	} else if (l->leaving && !e->leaving) {
@@ -202,14 +206,14 @@
 	m->arg = arg;
 	if (result != FG_PF_OK)
 		return;
-	m->own_contact = MAX(m->own_contact, m->list_sent_at);
-	m->listed = n;
+	m->own_contact_at = MAX(m->own_contact_at, m->list_sent_at);
+	m->n_listed = n;
 	for (size_t i = 0; i < n; i++)
-		on_listed(m, now, &list[i]);
-	fg_member_standing_tick(m, now);
+		handle_list_entry(m, now, &list[i]);
+	fg_member_update_standing(m, now);
 }
 
-/* ---- Our own state ---- */
+/* ---- Own state ---- */
 
 void fg_member_set_revision(struct fg_member *m, uint64_t revision,
 			    uint32_t confirm_age_ms)
@@ -247,10 +251,10 @@
 	m->emit = emit;
 	m->arg = arg;
 	m->leaving = true;
-	m->quitting = true;
+	m->releasing = true;
 	m->lease.next_at = now;
 	fg_member_lease_tick(m, now);
-	fg_member_standing_tick(m, now);
+	fg_member_update_standing(m, now);
 }
 
 uint64_t fg_member_epoch(const struct fg_member *m)
@@ -273,7 +277,7 @@
 	return m->conf.self.region;
 }
 
-/* ---- Questions ---- */
+/* ---- Queries ---- */
 
 const struct fg_peer_view *fg_member_find(const struct fg_member *m,
 					  uint64_t id)
@@ -288,8 +292,8 @@
 	return view->state == FG_PEER_LIVE || view->state == FG_PEER_SUSPECT;
 }
 
-static size_t list_peers(const struct fg_member *m, const char *region,
-			 bool leaving, uint64_t *ids, size_t max)
+static size_t list_instances(const struct fg_member *m, const char *region,
+			     bool with_leaving, uint64_t *ids, size_t max)
 {
 	GHashTableIter it;
 	void *value;
@@ -305,7 +309,8 @@
 		const struct fg_peer_view *v =
 			&((const struct fg_peer_entry *)value)->view;
 
-		if (!is_live(v) && !(leaving && v->state == FG_PEER_LEAVING))
+		if (!is_live(v) &&
+		    !(with_leaving && v->state == FG_PEER_LEAVING))
 			continue;
 		if (region != NULL && strcmp(region, v->info.region) != 0)
 			continue;
@@ -319,23 +324,24 @@
 size_t fg_member_list_live(const struct fg_member *m, const char *region,
 			   uint64_t *ids, size_t max)
 {
-	return list_peers(m, region, false, ids, max);
+	return list_instances(m, region, false, ids, max);
 }
 
 size_t fg_member_list_present(const struct fg_member *m, const char *region,
 			      uint64_t *ids, size_t max)
 {
-	return list_peers(m, region, true, ids, max);
+	return list_instances(m, region, true, ids, max);
 }
 
-struct best {
+struct candidate {
 	uint64_t id;
 	uint64_t score;
 	bool in_dc;
 };
 
-static void consider(struct best *b, uint64_t key, const char *region,
-		     const char *dc, const struct fg_listed *info)
+static void consider_candidate(struct candidate *best, uint64_t key,
+			       const char *region, const char *dc,
+			       const struct fg_listed *info)
 {
 	uint64_t score = fg_hash_mix(info->id, key);
 	bool in_dc;
@@ -343,29 +349,30 @@
 	if (strcmp(info->region, region) != 0)
 		return;
 	in_dc = strcmp(info->dc, dc) == 0;
-	if (b->id != 0 &&
-	    (b->in_dc > in_dc || (b->in_dc == in_dc && b->score >= score)))
+	if (best->id != 0 && (best->in_dc > in_dc ||
+			      (best->in_dc == in_dc && best->score >= score)))
 		return;
-	b->id = info->id;
-	b->score = score;
-	b->in_dc = in_dc;
+	best->id = info->id;
+	best->score = score;
+	best->in_dc = in_dc;
 }
 
 uint64_t fg_member_candidate(const struct fg_member *m, uint64_t key,
 			     const char *region, const char *dc)
 {
-	struct best b = { 0 };
+	struct candidate best = { 0 };
 	GHashTableIter it;
 	void *value;
 
 	if (m->lease.held && !m->leaving)
-		consider(&b, key, region, dc, &m->conf.self);
+		consider_candidate(&best, key, region, dc, &m->conf.self);
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct fg_peer_entry *e = value;
 
 		if (e->view.state == FG_PEER_LIVE)
-			consider(&b, key, region, dc, &e->view.info);
+			consider_candidate(&best, key, region, dc,
+					   &e->view.info);
 	}
-	return b.id;
+	return best.id;
 }
--- a/lib/member/fg_member_lease.c
+++ b/lib/member/fg_member_lease.c
@@ -1,17 +1,17 @@
 /*
- * Our own lease row: written by compare-and-set, read back after an answer
- * was lost. The row found gone means that others have given us up: the lease
- * is then taken anew under the next epoch.
+ * The own lease row: written by compare-and-set, and read back after a lost
+ * answer. When the row is gone, another instance has declared this one dead and
+ * deleted the row; the next write takes the lease again under a new epoch.
  */
 #include <assert.h>
 
 #include "member/fg_member_internal.h"
 
-#define LOST_RETRY_MS 300 /* before reading back */
+#define LOST_RETRY_MS 300 /* before the next try after a failed operation */
 
 uint32_t fg_member_advertised_size(const struct fg_member *m)
 {
-	return m->lease.held ? m->lease.region_least : 0;
+	return m->lease.held ? m->lease.region_size_min : 0;
 }
 
 fg_ms fg_member_lease_end(const struct fg_member *m)
@@ -19,7 +19,7 @@
 	return m->lease.sent_at + (fg_ms)m->conf.own_lease_ms;
 }
 
-bool fg_member_lease_fresh(const struct fg_member *m, fg_ms now)
+bool fg_member_is_lease_fresh(const struct fg_member *m, fg_ms now)
 {
 	return m->lease.held && m->lease.sent_at >= m->resumed_at &&
 	       now < fg_member_lease_end(m);
@@ -27,30 +27,32 @@
 
 /* ---- Operations ---- */
 
-static void submit_own(struct fg_member *m, fg_ms now, struct fg_table_op *op,
-		       const struct fg_mop *mop)
+static void submit_lease_op(struct fg_member *m, fg_ms now,
+			    struct fg_table_op *op,
+			    const struct fg_pending_op *pending)
 {
-	m->lease.busy = true;
-	m->lease.busy_op = op->id;
-	m->lease.busy_since = now;
-	fg_member_submit(m, now, op, mop);
+	m->lease.in_flight = true;
+	m->lease.in_flight_op = op->id;
+	m->lease.in_flight_since = now;
+	fg_member_submit(m, now, op, pending);
 }
 
-static void send_read(struct fg_member *m, fg_ms now)
+static void send_read_back(struct fg_member *m, fg_ms now)
 {
-	struct fg_mop mop = { .kind = FG_MOP_READ_OWN };
+	struct fg_pending_op pending = { .kind = FG_PENDING_READ_OWN };
 
-	submit_own(m, now, fg_member_op(m, FG_OP_GET, m->key), &mop);
+	submit_lease_op(m, now, fg_member_new_op(m, FG_OP_GET, m->lease_key),
+			&pending);
 }
 
 static void send_renewal(struct fg_member *m, fg_ms now)
 {
-	struct fg_table_op *op = fg_member_op(m, FG_OP_TXN, NULL);
-	uint32_t region = fg_member_region_tally(m, now).size;
-	uint32_t total = fg_member_total_tally(m, now).size;
-	struct fg_mop mop = { .kind = FG_MOP_RENEW,
-			      .region_size = region,
-			      .total_size = total };
+	struct fg_table_op *op = fg_member_new_op(m, FG_OP_TXN, NULL);
+	uint32_t region = fg_member_tally_region(m, now).size;
+	uint32_t total = fg_member_tally_all(m, now).size;
+	struct fg_pending_op pending = { .kind = FG_PENDING_RENEW,
+					 .region_size = region,
+					 .total_size = total };
 	struct fg_lease_row row = { .boot = m->conf.boot,
 				    .region_size = region,
 				    .total_size = total,
@@ -58,78 +60,83 @@
 				    .info = m->conf.self };
 	char *value = fg_lease_row_encode(&row);
 
-	fg_table_op_write(op, m->key, m->lease.version, value);
+	fg_table_op_write(op, m->lease_key, m->lease.version, value);
 	g_free(value);
-	m->lease.region_least = MIN(m->lease.region_least, region);
-	m->lease.region_most = MAX(m->lease.region_most, region);
-	m->lease.total_most = MAX(m->lease.total_most, total);
-	submit_own(m, now, op, &mop);
+	m->lease.region_size_min = MIN(m->lease.region_size_min, region);
+	m->lease.region_size_max = MAX(m->lease.region_size_max, region);
+	m->lease.total_size_max = MAX(m->lease.total_size_max, total);
+	submit_lease_op(m, now, op, &pending);
 }
 
-static void send_quit(struct fg_member *m, fg_ms now)
+static void send_release(struct fg_member *m, fg_ms now)
 {
-	struct fg_table_op *op = fg_member_op(m, FG_OP_TXN, NULL);
-	struct fg_mop mop = { .kind = FG_MOP_QUIT };
+	struct fg_table_op *op = fg_member_new_op(m, FG_OP_TXN, NULL);
+	struct fg_pending_op pending = { .kind = FG_PENDING_RELEASE };
 
-	fg_table_op_write(op, m->key, m->lease.version, NULL);
-	submit_own(m, now, op, &mop);
+	fg_table_op_write(op, m->lease_key, m->lease.version, NULL);
+	submit_lease_op(m, now, op, &pending);
 }
 
-/* In a region this small, each instance that a row leaves out may be the one
- * that those left lack for a quorum; renewing more often costs few writes. */
+/* Up to this size, a row that omits a single instance may cost the survivors
+ * the quorum to delete it; the early renewals that avoid this are few writes
+ * there. Larger regions renew early when the row states less than 2/3. */
 #define EXACT_SIZE_MAX 16
 
-static bool says_too_few(uint32_t said, uint32_t size)
+static bool is_size_understated(uint32_t stated, uint32_t size)
 {
 	if (size <= EXACT_SIZE_MAX)
-		return fg_member_hold_quorum(said) <
-		       fg_member_hold_quorum(size);
-	return 3 * said < 2 * size;
+		return fg_member_outage_quorum(stated) <
+		       fg_member_outage_quorum(size);
+	return 3 * stated < 2 * size;
 }
 
 /*
- * The row says that we know fewer than there are, as it does just after the
- * start. If we died now, those that are left could not tell whether they meet
- * the quorum that we would have held on with.
+ * Returns true when the own row states fewer instances than are known now, as
+ * just after the start. If this instance died, the survivors could not tell
+ * whether they overlap with the quorum that it would need for OUTAGE, and would
+ * delete its row only after ten leases.
  */
-static bool row_understates(const struct fg_member *m, fg_ms now)
+static bool is_row_understated(const struct fg_member *m, fg_ms now)
 {
 	const struct fg_own_lease *l = &m->lease;
 
-	if (!l->held || now < l->early_at)
+	if (!l->held || now < l->early_allowed_at)
 		return false;
-	if (says_too_few(l->region_most, fg_member_region_tally(m, now).size))
+	if (is_size_understated(l->region_size_max,
+				fg_member_tally_region(m, now).size))
 		return true;
-	return fg_member_is_small(l->region_least) &&
-	       says_too_few(l->total_most, fg_member_total_tally(m, now).size);
+	return fg_member_is_small_region(l->region_size_min) &&
+	       is_size_understated(l->total_size_max,
+				   fg_member_tally_all(m, now).size);
 }
 
 void fg_member_lease_tick(struct fg_member *m, fg_ms now)
 {
 	struct fg_own_lease *l = &m->lease;
 
-	if (l->busy && now - l->busy_since > (fg_ms)m->conf.lease_ms) {
-		/* No result at all: treated as a lost answer. */
-		l->busy = false;
-		l->unsure = true;
+	if (l->in_flight &&
+	    now - l->in_flight_since > (fg_ms)m->conf.lease_ms) {
+		/* An operation without any result counts as a lost answer. */
+		l->in_flight = false;
+		l->must_read_back = true;
 	}
-	if (l->busy || l->superseded)
+	if (l->in_flight || l->superseded)
 		return;
-	if (now < l->next_at && !row_understates(m, now))
+	if (now < l->next_at && !is_row_understated(m, now))
 		return;
 	l->next_at = now + (fg_ms)m->conf.renew_ms;
-	if (l->unsure)
-		send_read(m, now);
-	else if (!m->quitting)
+	if (l->must_read_back)
+		send_read_back(m, now);
+	else if (!m->releasing)
 		send_renewal(m, now);
 	else if (l->held)
-		send_quit(m, now);
+		send_release(m, now);
 }
 
 /* ---- Results ---- */
 
-static void lease_won(struct fg_member *m, fg_ms now, uint64_t version,
-		      fg_ms sent_at)
+static void set_lease_held(struct fg_member *m, fg_ms now, uint64_t version,
+			   fg_ms sent_at)
 {
 	struct fg_own_lease *l = &m->lease;
 
@@ -142,13 +149,13 @@
 	}
 	l->version = version;
 	l->sent_at = MAX(l->sent_at, sent_at);
-	l->lost_sent_at = 0;
-	l->unsure = version == 0;
-	if (l->unsure)
+	l->lost_write_sent_at = 0;
+	l->must_read_back = version == 0;
+	if (l->must_read_back)
 		l->next_at = now;
 }
 
-static void lease_gone(struct fg_member *m, fg_ms now)
+static void set_lease_lost(struct fg_member *m, fg_ms now)
 {
 	struct fg_own_lease *l = &m->lease;
 
@@ -156,17 +163,19 @@
 		l->epoch++;
 	l->held = false;
 	l->version = 0;
-	l->unsure = false;
+	l->must_read_back = false;
 	l->next_at = now;
 }
 
-/* The row as it is: ours after an answer was lost, or somebody else's. */
-static void found_row(struct fg_member *m, fg_ms now, const struct fg_row *row)
+/* Takes over the row that a read or a conflict returned. A row with another
+ * nonce belongs to another run under the same name. */
+static void handle_current_row(struct fg_member *m, fg_ms now,
+			       const struct fg_row *row)
 {
 	struct fg_lease_row found;
 
 	if (row == NULL || row->value == NULL) {
-		lease_gone(m, now);
+		set_lease_lost(m, now);
 		return;
 	}
 	if (!fg_lease_row_decode(row->key, row->value, &found) ||
@@ -174,37 +183,39 @@
 		m->lease.superseded = true;
 		return;
 	}
-	/* A version that we never learnt of was written by the write whose
-	 * answer was lost, which was sent at lost_sent_at or later. */
-	lease_won(m, now, row->row_version,
-		  row->row_version != m->lease.version ? m->lease.lost_sent_at
-						       : 0);
+	/* A version that no answer reported comes from a write whose answer
+	 * was lost; it was sent at lost_write_sent_at or later. */
+	set_lease_held(m, now, row->row_version,
+		       row->row_version != m->lease.version
+			       ? m->lease.lost_write_sent_at
+			       : 0);
 	m->lease.next_at = now;
 }
 
-static void renewal_result(struct fg_member *m, fg_ms now,
-			   const struct fg_mop *mop,
-			   const struct fg_table_result *res)
+static void handle_renewal_result(struct fg_member *m, fg_ms now,
+				  const struct fg_pending_op *pending,
+				  const struct fg_table_result *res)
 {
 	struct fg_own_lease *l = &m->lease;
 
 	switch (res->result) {
 	case FG_PF_OK:
-		l->region_least = mop->region_size;
-		l->region_most = mop->region_size;
-		l->total_most = mop->total_size;
-		lease_won(m, now,
-			  res->n_rows > 0 ? res->rows[0].row_version : 0,
-			  mop->sent_at);
+		l->region_size_min = pending->region_size;
+		l->region_size_max = pending->region_size;
+		l->total_size_max = pending->total_size;
+		set_lease_held(m, now,
+			       res->n_rows > 0 ? res->rows[0].row_version : 0,
+			       pending->sent_at);
 		break;
 	case FG_PF_CONFLICT:
-		found_row(m, now, res->n_rows > 0 ? &res->rows[0] : NULL);
+		handle_current_row(m, now,
+				   res->n_rows > 0 ? &res->rows[0] : NULL);
 		break;
 	case FG_PF_LOST:
 	case FG_PF_BAD:
-		if (l->lost_sent_at == 0)
-			l->lost_sent_at = mop->sent_at;
-		l->unsure = true;
+		if (l->lost_write_sent_at == 0)
+			l->lost_write_sent_at = pending->sent_at;
+		l->must_read_back = true;
 		l->next_at = now + LOST_RETRY_MS;
 		break;
 	case FG_PF_ABSENT:
@@ -214,32 +225,32 @@
 	}
 }
 
-static void read_result(struct fg_member *m, fg_ms now,
-			const struct fg_table_result *res)
+static void handle_read_result(struct fg_member *m, fg_ms now,
+			       const struct fg_table_result *res)
 {
 	if (res->result == FG_PF_OK && res->n_rows > 0)
-		found_row(m, now, &res->rows[0]);
+		handle_current_row(m, now, &res->rows[0]);
 	else if (res->result == FG_PF_OK || res->result == FG_PF_ABSENT)
-		lease_gone(m, now);
+		set_lease_lost(m, now);
 	else
 		m->lease.next_at = now + LOST_RETRY_MS;
 }
 
-void fg_member_lease_result(struct fg_member *m, fg_ms now,
-			    const struct fg_mop *mop,
-			    const struct fg_table_result *res)
+void fg_member_on_lease_result(struct fg_member *m, fg_ms now,
+			       const struct fg_pending_op *pending,
+			       const struct fg_table_result *res)
 {
-	if (res->id != m->lease.busy_op || !m->lease.busy)
-		return; /* given up before */
-	m->lease.busy = false;
+	if (res->id != m->lease.in_flight_op || !m->lease.in_flight)
+		return; /* fg_member_lease_tick() gave up waiting */
+	m->lease.in_flight = false;
 	if (res->result != FG_PF_OK)
-		m->lease.early_at = now + LOST_RETRY_MS;
-	if (mop->kind == FG_MOP_RENEW)
-		renewal_result(m, now, mop, res);
-	else if (mop->kind == FG_MOP_READ_OWN)
-		read_result(m, now, res);
+		m->lease.early_allowed_at = now + LOST_RETRY_MS;
+	if (pending->kind == FG_PENDING_RENEW)
+		handle_renewal_result(m, now, pending, res);
+	else if (pending->kind == FG_PENDING_READ_OWN)
+		handle_read_result(m, now, res);
 	else if (res->result == FG_PF_OK || res->result == FG_PF_CONFLICT)
-		lease_gone(m, now);
+		set_lease_lost(m, now);
 	else
 		m->lease.next_at = now + LOST_RETRY_MS;
 }
--- a/lib/member/fg_member_peers.c
+++ b/lib/member/fg_member_peers.c
@@ -1,18 +1,15 @@
-/*
- * What is known of other instances: their lease rows, states, and the
- * deletion of lapsed rows.
- */
+/* Other instances: lease rows, states, the reaping of lapsed rows. */
 #include <string.h>
 
 #include "member/fg_member_internal.h"
 
-#define REAP_RANK_MAX 6 /* later candidates all wait this many turns */
-#define FORGET_LEASES 10
-#define FORGET_MS (600 * 1000) /* a dead instance is remembered so long */
+#define REAP_RANK_MAX 6 /* all candidates of a higher rank wait as long */
+#define REDUCED_QUORUM_LEASES 10 /* lease_ms after the lapse */
+#define DEAD_ENTRY_TTL_MS (600 * 1000)
 
 /* ---- States ---- */
 
-static enum fg_peer_state state_of(const struct fg_peer_entry *e)
+static enum fg_peer_state derive_state(const struct fg_peer_entry *e)
 {
 	if (!e->has_row)
 		return FG_PEER_DEAD;
@@ -24,7 +21,7 @@
 void fg_member_refresh_state(struct fg_member *m, struct fg_peer_entry *e)
 {
 	enum fg_peer_state before = e->view.state;
-	enum fg_peer_state after = state_of(e);
+	enum fg_peer_state after = derive_state(e);
 	uint64_t id = e->view.info.id;
 
 	if (before == after)
@@ -52,41 +49,42 @@
 
 /* ---- Rows ---- */
 
-static struct fg_peer_entry *entry_new(struct fg_member *m, uint64_t id)
+static struct fg_peer_entry *add_entry(struct fg_member *m, uint64_t id)
 {
 	struct fg_peer_entry *e = g_new0(struct fg_peer_entry, 1);
 
 	e->view.info.id = id;
 	e->view.state = FG_PEER_DEAD;
-	e->order = fg_hash_mix(id, 0);
+	e->ring_pos = fg_hash_mix(id, 0);
 	g_hash_table_insert(m->peers, &e->view.info.id, e);
 	return e;
 }
 
-static void row_changed(struct fg_member *m, fg_ms now, struct fg_peer_entry *e,
-			const struct fg_row *row,
-			const struct fg_lease_row *lease)
+static void store_new_version(struct fg_member *m, fg_ms now,
+			      struct fg_peer_entry *e, const struct fg_row *row,
+			      const struct fg_lease_row *lease)
 {
 	e->view.info = lease->info;
 	e->row_version = row->row_version;
 	e->region_size = lease->region_size;
 	e->total_size = lease->total_size;
 	e->has_row = true;
-	e->seen_at = now;
+	e->version_seen_at = now;
 	e->lapsed_at = 0;
-	e->proven_at = 0;
+	e->reap_quorum_at = 0;
 	e->leaving = lease->leaving;
-	/* The lease moves on; pings alone may keep the suspicion. */
+	/* A renewal ends a suspicion by lease; unanswered pings keep it. */
 	if (e->unanswered == 0)
 		e->suspect = false;
 	fg_member_refresh_state(m, e);
 }
 
-/* The same version again, after lease_ms in which the table answered. */
+/* Marks the lease of e as lapsed when a read shows the same version again after
+ * lease_ms in which the table kept answering. */
 static void check_lapsed(struct fg_member *m, fg_ms now, fg_ms sent_at,
 			 struct fg_peer_entry *e)
 {
-	fg_ms since = MAX(e->seen_at, m->table_up_since);
+	fg_ms since = MAX(e->version_seen_at, m->table_up_since);
 
 	if (e->lapsed_at != 0 || sent_at - since < (fg_ms)m->conf.lease_ms)
 		return;
@@ -94,8 +92,8 @@
 	fg_member_set_suspect(m, now, e, true);
 }
 
-void fg_member_row_seen(struct fg_member *m, fg_ms now, fg_ms sent_at,
-			const struct fg_row *row)
+void fg_member_record_row(struct fg_member *m, fg_ms now, fg_ms sent_at,
+			  const struct fg_row *row)
 {
 	struct fg_lease_row lease;
 	struct fg_peer_entry *e;
@@ -103,30 +101,30 @@
 	if (!fg_lease_row_decode(row->key, row->value, &lease) ||
 	    lease.info.id == m->conf.self.id)
 		return;
-	e = fg_member_entry(m, lease.info.id);
+	e = fg_member_find_entry(m, lease.info.id);
 	if (e == NULL)
-		e = entry_new(m, lease.info.id);
-	e->scan = m->scan;
+		e = add_entry(m, lease.info.id);
+	e->scan_no = m->scan_no;
 	if (row->row_version > e->row_version) {
-		row_changed(m, now, e, row, &lease);
+		store_new_version(m, now, e, row, &lease);
 	} else if (row->row_version < e->row_version || !e->has_row) {
-		return; /* an older read */
+		return; /* the read is older than what is known */
 	} else {
 		check_lapsed(m, now, sent_at, e);
 	}
 	e->read_at = MAX(e->read_at, sent_at);
 }
 
-void fg_member_row_absent(struct fg_member *m, struct fg_peer_entry *e,
-			  fg_ms sent_at)
+void fg_member_record_absent(struct fg_member *m, struct fg_peer_entry *e,
+			     fg_ms sent_at)
 {
 	if (sent_at < e->read_at)
-		return; /* read again since */
+		return; /* a later read has covered the row */
 	e->absent_at = MAX(e->absent_at, sent_at);
 	e->read_at = MAX(e->read_at, sent_at);
 	e->has_row = false;
 	e->lapsed_at = 0;
-	e->proven_at = 0;
+	e->reap_quorum_at = 0;
 	fg_member_refresh_state(m, e);
 }
 
@@ -141,15 +139,15 @@
 	return !e->has_row && e->absent_at > since;
 }
 
-/* ---- Deleting lapsed rows ---- */
+/* ---- Reaping of lapsed rows ---- */
 
 /*
- * A process that listens at the address of e, and renewed its own lease after
- * that of e was seen lapsed, proves that the process behind e has ended: it
- * held the address until then.
+ * Returns true when an instance other than e has its address and renewed the
+ * own lease after the lease of e lapsed. Two processes cannot listen at one
+ * address, so that the process of e has ended.
  */
-static bool is_replaced(const struct fg_member *m,
-			const struct fg_peer_entry *e)
+static bool is_address_reused(const struct fg_member *m,
+			      const struct fg_peer_entry *e)
 {
 	if (e->lapsed_at == 0 || e->view.info.rpc[0] == '\0')
 		return false;
@@ -158,15 +156,16 @@
 	for (guint i = 0; i < m->ring->len; i++) {
 		const struct fg_peer_entry *p = m->ring->pdata[i];
 
-		if (p != e && p->seen_at >= e->lapsed_at &&
+		if (p != e && p->version_seen_at >= e->lapsed_at &&
 		    strcmp(p->view.info.rpc, e->view.info.rpc) == 0)
 			return true;
 	}
 	return false;
 }
 
-/* How many live instances of the region come before this one in deleting
- * the row of e; one of them suffices. */
+/* Returns how many live instances of the region have their turn to delete the
+ * row of e before this one. The turns are staggered, since one deletion is
+ * enough. */
 static uint32_t reap_rank(const struct fg_member *m,
 			  const struct fg_peer_entry *e)
 {
@@ -184,156 +183,163 @@
 	return rank;
 }
 
-static bool reap_turn(const struct fg_member *m, fg_ms now,
-		      const struct fg_peer_entry *e)
+static bool is_reap_turn(const struct fg_member *m, fg_ms now,
+			 const struct fg_peer_entry *e)
 {
 	fg_ms turn_ms = (fg_ms)m->conf.reachable_ms * 3 / 2;
 
-	if (e->lapsed_at == 0 || !fg_member_same_region(m, e) ||
-	    !fg_member_lease_fresh(m, now))
+	if (e->lapsed_at == 0 || !fg_member_is_same_region(m, e) ||
+	    !fg_member_is_lease_fresh(m, now))
 		return false;
 	return now >= e->lapsed_at + turn_ms * reap_rank(m, e);
 }
 
-bool fg_member_reaping(const struct fg_member *m, fg_ms now)
+bool fg_member_is_reaping(const struct fg_member *m, fg_ms now)
 {
 	for (guint i = 0; i < m->ring->len; i++)
-		if (reap_turn(m, now, m->ring->pdata[i]))
+		if (is_reap_turn(m, now, m->ring->pdata[i]))
 			return true;
 	return false;
 }
 
-bool fg_member_reaping_small(const struct fg_member *m, fg_ms now)
+bool fg_member_is_reaping_small(const struct fg_member *m, fg_ms now)
 {
 	for (guint i = 0; i < m->ring->len; i++) {
 		const struct fg_peer_entry *e = m->ring->pdata[i];
 
-		if (fg_member_is_small(e->region_size) && !e->replaced &&
-		    reap_turn(m, now, e))
+		if (fg_member_is_small_region(e->region_size) &&
+		    !e->address_reused && is_reap_turn(m, now, e))
 			return true;
 	}
 	return false;
 }
 
-/* One of those that answered is among the ones that the holder needs: two
- * thirds of the `said` instances that it knew, all of which a scan shows. */
-static bool meets_holders(struct fg_tally t, uint32_t said)
+/* Returns true when at least one instance that answered belongs to any quorum
+ * that the holder may have for OUTAGE: two thirds of the instances that its row
+ * states, all of which a scan shows. */
+static bool overlaps_outage_quorum(struct fg_tally t, uint32_t stated)
 {
-	return t.reached + fg_member_hold_quorum(said) > t.size;
+	return t.reached + fg_member_outage_quorum(stated) > t.size;
 }
 
 /*
  * Counts answers to pings sent strictly after the read that showed the lapse.
- * The holder in a small region needs both quorums, so that meeting one is
- * enough. After FORGET_LEASES leases a third is, since a region that was
- * replaced as a whole has nobody else to answer.
+ * A holder in a small region needs the quorum of the region and that of all
+ * regions, so that an overlap with one of them is enough. After
+ * REDUCED_QUORUM_LEASES leases more than a third of the instances is enough:
+ * when a whole region has been replaced, the old instances cannot answer.
  */
-static bool is_proven(const struct fg_member *m, fg_ms now,
-		      const struct fg_peer_entry *e)
+static bool has_reap_quorum(const struct fg_member *m, fg_ms now,
+			    const struct fg_peer_entry *e)
 {
-	fg_ms forget_ms = FORGET_LEASES * (fg_ms)m->conf.lease_ms;
-	struct fg_tally region = fg_member_region_tally(m, e->lapsed_at);
-	struct fg_tally total = fg_member_total_tally(m, e->lapsed_at);
-	bool small = fg_member_is_small(e->region_size);
+	fg_ms reduced_after_ms =
+		REDUCED_QUORUM_LEASES * (fg_ms)m->conf.lease_ms;
+	struct fg_tally region = fg_member_tally_region(m, e->lapsed_at);
+	struct fg_tally total = fg_member_tally_all(m, e->lapsed_at);
+	bool small = fg_member_is_small_region(e->region_size);
 
 	if (m->scanned_at < e->lapsed_at)
 		return false;
-	if (meets_holders(region, e->region_size) ||
-	    (small && meets_holders(total, e->total_size)))
+	if (overlaps_outage_quorum(region, e->region_size) ||
+	    (small && overlaps_outage_quorum(total, e->total_size)))
 		return true;
-	return now - e->lapsed_at > forget_ms &&
+	return now - e->lapsed_at > reduced_after_ms &&
 	       3 * region.reached > region.size &&
 	       (!small || 3 * total.reached > total.size);
 }
 
 static void send_delete(struct fg_member *m, fg_ms now, struct fg_peer_entry *e)
 {
-	struct fg_mop mop = { .kind = FG_MOP_DELETE, .peer = e->view.info.id };
-	struct fg_table_op *op = fg_member_op(m, FG_OP_TXN, NULL);
+	struct fg_pending_op pending = { .kind = FG_PENDING_DELETE,
+					 .peer = e->view.info.id };
+	struct fg_table_op *op = fg_member_new_op(m, FG_OP_TXN, NULL);
 	g_autofree char *key =
 		g_strconcat(FG_MEMBER_KEY_PREFIX, e->view.info.name, NULL);
 
-	e->op_busy = true;
+	e->op_in_flight = true;
 	fg_table_op_write(op, key, e->row_version, NULL);
-	fg_member_submit(m, now, op, &mop);
+	fg_member_submit(m, now, op, &pending);
 }
 
-/* Takes the steps stated in fg_member.h, in their order. */
-static void reap(struct fg_member *m, fg_ms now, struct fg_peer_entry *e)
+/* Takes the next of the steps that fg_member.h lists under "Liveness". */
+static void reap_row(struct fg_member *m, fg_ms now, struct fg_peer_entry *e)
 {
-	if (e->replaced) {
-		if (!e->op_busy)
+	if (e->address_reused) {
+		if (!e->op_in_flight)
 			send_delete(m, now, e);
 		return;
 	}
-	if (e->proven_at == 0) {
-		m->scan_due |= m->scanned_at < e->lapsed_at;
-		if (is_proven(m, now, e))
-			e->proven_at = now;
+	if (e->reap_quorum_at == 0) {
+		m->scan_requested |= m->scanned_at < e->lapsed_at;
+		if (has_reap_quorum(m, now, e))
+			e->reap_quorum_at = now;
 		return;
 	}
-	if (now < e->proven_at + (fg_ms)m->conf.reachable_ms || e->op_busy)
+	if (now < e->reap_quorum_at + (fg_ms)m->conf.reachable_ms ||
+	    e->op_in_flight)
 		return;
 	send_delete(m, now, e);
 }
 
-void fg_member_delete_result(struct fg_member *m, fg_ms now,
-			     const struct fg_mop *mop,
-			     const struct fg_table_result *res)
+void fg_member_on_delete_result(struct fg_member *m, fg_ms now,
+				const struct fg_pending_op *pending,
+				const struct fg_table_result *res)
 {
-	struct fg_peer_entry *e = fg_member_entry(m, mop->peer);
+	struct fg_peer_entry *e = fg_member_find_entry(m, pending->peer);
 	const struct fg_row *row = res->n_rows > 0 ? &res->rows[0] : NULL;
 
 	if (e == NULL)
 		return;
-	e->op_busy = false;
+	e->op_in_flight = false;
 	if (res->result == FG_PF_OK) {
-		fg_member_row_absent(m, e, mop->sent_at);
-		e->hinted_at = 0;
-		fg_member_hint(m, now, e);
+		fg_member_record_absent(m, e, pending->sent_at);
+		e->hint_sent_at = 0;
+		fg_member_send_hints(m, now, e);
 	} else if (res->result == FG_PF_CONFLICT && row != NULL &&
 		   row->value != NULL) {
-		fg_member_row_seen(m, now, mop->sent_at, row);
+		fg_member_record_row(m, now, pending->sent_at, row);
 	} else if (res->result != FG_PF_DOWN) {
-		fg_member_get_row(m, now, e);
+		fg_member_read_row(m, now, e);
 	}
 }
 
 /* ---- Tick ---- */
 
-/* Reads the row of a suspect at once, and when its lease would have lapsed. */
-static void watch(struct fg_member *m, fg_ms now, struct fg_peer_entry *e)
+/* Reads the row of a suspect when the suspicion arises, and again when its
+ * lease can have lapsed. */
+static void read_suspect_row(struct fg_member *m, fg_ms now,
+			     struct fg_peer_entry *e)
 {
-	fg_ms due =
-		MAX(e->seen_at, m->table_up_since) + (fg_ms)m->conf.lease_ms;
+	fg_ms due = MAX(e->version_seen_at, m->table_up_since) +
+		    (fg_ms)m->conf.lease_ms;
 
 	if (!e->suspect || e->lapsed_at != 0)
 		return;
 	if (e->read_at < e->suspect_at || (now >= due && e->read_at < due))
-		fg_member_get_row(m, now, e);
+		fg_member_read_row(m, now, e);
 }
 
-static gboolean is_forgotten(gpointer key, gpointer value, gpointer user_data)
+static gboolean is_expired(gpointer key, gpointer value, gpointer user_data)
 {
 	const struct fg_peer_entry *e = value;
 	const fg_ms *now = user_data;
 
 	(void)key;
-	return !e->has_row && !e->op_busy &&
-	       *now - MAX(e->absent_at, e->view.heard_at) > FORGET_MS;
+	return !e->has_row && !e->op_in_flight &&
+	       *now - MAX(e->absent_at, e->view.heard_at) > DEAD_ENTRY_TTL_MS;
 }
 
 void fg_member_peers_tick(struct fg_member *m, fg_ms now)
 {
-	/* Only the region is watched; others are learnt of by scans. */
+	/* Rows of other regions are read by scans only. */
 	for (guint i = 0; i < m->ring->len; i++) {
 		struct fg_peer_entry *e = m->ring->pdata[i];
 
-		watch(m, now, e);
-		e->replaced = is_replaced(m, e);
-		if (reap_turn(m, now, e))
-			reap(m, now, e);
+		read_suspect_row(m, now, e);
+		e->address_reused = is_address_reused(m, e);
+		if (is_reap_turn(m, now, e))
+			reap_row(m, now, e);
 	}
-	if (g_hash_table_foreach_remove(m->peers, is_forgotten, &now) > 0)
+	if (g_hash_table_foreach_remove(m->peers, is_expired, &now) > 0)
 		m->generation++;
 }
--- a/lib/member/fg_member_row.c
+++ b/lib/member/fg_member_row.c
@@ -32,7 +32,7 @@
 {
 	const char *http, *rpc, *region, *dc, *state;
 	json_t *obj = value != NULL ? json_loads(value, 0, NULL) : NULL;
-	/* Not there: not known. */
+	/* Without these keys the sizes are not known: 0. */
 	json_int_t boot, region_size = 0, total_size = 0;
 	int format;
 	bool ok;
--- a/tests/unit/cluster.c
+++ b/tests/unit/cluster.c
@@ -1,4 +1,4 @@
-/* Several instances over an in-memory table and network, in virtual time. */
+/* Simulation of several instances in virtual time. */
 #include "cluster.h"
 
 #include <string.h>
@@ -6,13 +6,13 @@
 #include "owner/fg_owner_internal.h"
 
 #define TICK_MS 100
-#define TIMEOUT_MS 1000 /* of an operation on the table */
-#define DRIFT 0.01	/* clocks run up to this share fast or slow */
+#define OP_TIMEOUT_MS 1000   /* of an operation on the table */
+#define CLOCK_DRIFT_MAX 0.01 /* largest relative error of a clock rate */
 
 enum event_type {
 	EV_TICK = 1,
 	EV_OP = 2,     /* an operation reaches the table */
-	EV_RESULT = 3, /* its result reaches the node */
+	EV_RESULT = 3, /* its result reaches the instance */
 	EV_MSG = 4,
 	EV_LIST = 5,
 };
@@ -21,19 +21,19 @@
 	fg_ms at;
 	uint64_t number;
 	enum event_type type;
-	struct instance *node; /* where it happens */
-	uint64_t node_id;      /* the node may have been replaced since */
+	struct instance *instance; /* target */
+	uint64_t instance_id; /* another one may use the array entry by now */
 	struct fg_table_op *op;
 	struct fg_table_result *res;
 	fg_msg *msg;
 	uint64_t from;
-	struct instance *from_node;
-	int from_side;
+	struct instance *from_instance;
+	int from_partition;
 };
 
 /* ---- Events ---- */
 
-static gint by_time(gconstpointer a, gconstpointer b, gpointer data)
+static gint compare_events(gconstpointer a, gconstpointer b, gpointer data)
 {
 	const struct event *x = a, *y = b;
 
@@ -43,22 +43,22 @@
 	return (x->number > y->number) - (x->number < y->number);
 }
 
-static gint by_name(gconstpointer a, gconstpointer b, gpointer data)
+static gint compare_keys(gconstpointer a, gconstpointer b, gpointer data)
 {
 	(void)data;
 	return strcmp(a, b);
 }
 
-static struct event *post(struct cluster *c, fg_ms at, enum event_type type,
-			  struct instance *n)
+static struct event *schedule_event(struct cluster *c, fg_ms at,
+				    enum event_type type, struct instance *n)
 {
 	struct event *ev = g_new0(struct event, 1);
 
 	ev->at = at;
 	ev->number = c->next_event++;
 	ev->type = type;
-	ev->node = n;
-	ev->node_id = n->self.id;
+	ev->instance = n;
+	ev->instance_id = n->self.id;
 	g_tree_insert(c->events, ev, ev);
 	return ev;
 }
@@ -90,47 +90,50 @@
 
 /* ---- Table ---- */
 
-static void answer(struct cluster *c, struct instance *n, uint64_t node_id,
-		   struct fg_table_result *res, fg_ms after)
+static void schedule_result(struct cluster *c, struct instance *n,
+			    uint64_t instance_id, struct fg_table_result *res,
+			    fg_ms after)
 {
-	struct event *ev = post(c, c->now + after, EV_RESULT, n);
+	struct event *ev = schedule_event(c, c->now + after, EV_RESULT, n);
 
-	ev->node_id = node_id;
+	ev->instance_id = instance_id;
 	ev->res = res;
 }
 
-static struct fg_table_result *no_answer(const struct fg_table_op *op,
-					 enum fg_pf_result result)
+static struct fg_table_result *new_failed_result(const struct fg_table_op *op,
+						 enum fg_pf_result result)
 {
 	return fg_table_result_new(op->id, op->kind, result);
 }
 
-static void run_op(struct cluster *c, const struct event *ev)
+static void deliver_op(struct cluster *c, const struct event *ev)
 {
-	struct instance *n = ev->node;
-	bool reaches = c->now >= c->outage_until && !n->platform_cut;
+	struct instance *n = ev->instance;
+	bool reachable = c->now >= c->outage_until && !n->platform_cut;
 	struct fg_table_result *res;
 
-	if (!reaches) {
-		answer(c, n, ev->node_id,
-		       no_answer(ev->op,
-				 chance(c, 0.5) ? FG_PF_DOWN : FG_PF_LOST),
-		       latency(c));
+	if (!reachable) {
+		schedule_result(c, n, ev->instance_id,
+				new_failed_result(ev->op, chance(c, 0.5)
+								  ? FG_PF_DOWN
+								  : FG_PF_LOST),
+				latency(c));
 		return;
 	}
 	res = cluster_run_table_op(c, ev->op);
 	if (chance(c, c->lost_answer_share)) {
 		fg_table_result_free(res);
-		answer(c, n, ev->node_id, no_answer(ev->op, FG_PF_LOST),
-		       TIMEOUT_MS);
+		schedule_result(c, n, ev->instance_id,
+				new_failed_result(ev->op, FG_PF_LOST),
+				OP_TIMEOUT_MS);
 		return;
 	}
-	answer(c, n, ev->node_id, res, latency(c));
+	schedule_result(c, n, ev->instance_id, res, latency(c));
 }
 
-/* ---- Nodes ---- */
+/* ---- Instances ---- */
 
-static struct instance *node_by_id(struct cluster *c, uint64_t id)
+static struct instance *find_live_instance(struct cluster *c, uint64_t id)
 {
 	for (int i = 0; i < c->n_instances; i++)
 		if (c->instances[i].alive && c->instances[i].self.id == id)
@@ -138,15 +141,15 @@
 	return NULL;
 }
 
-struct call {
+struct emit_ctx {
 	struct cluster *c;
 	struct instance *n;
 };
 
-static void submit(struct cluster *c, struct instance *n,
-		   struct fg_table_op *op)
+static void submit_op(struct cluster *c, struct instance *n,
+		      struct fg_table_op *op)
 {
-	struct event *ev = post(c, c->now + latency(c), EV_OP, n);
+	struct event *ev = schedule_event(c, c->now + latency(c), EV_OP, n);
 
 	ev->op = op;
 }
@@ -154,7 +157,7 @@
 static void send_msg(struct cluster *c, struct instance *n, uint64_t to,
 		     fg_msg *msg)
 {
-	struct instance *dest = node_by_id(c, to);
+	struct instance *dest = find_live_instance(c, to);
 	struct event *ev;
 
 	n->sent_msgs++;
@@ -162,37 +165,37 @@
 		fg_msg_free(msg);
 		return;
 	}
-	ev = post(c, c->now + latency(c), EV_MSG, dest);
+	ev = schedule_event(c, c->now + latency(c), EV_MSG, dest);
 	ev->msg = msg;
 	ev->from = n->self.id;
-	ev->from_node = n;
-	ev->from_side = n->partition;
+	ev->from_instance = n;
+	ev->from_partition = n->partition;
 }
 
 static void on_member_act(void *arg, struct fg_member_act *act)
 {
-	struct call *call = arg;
+	struct emit_ctx *ctx = arg;
 
 	switch (act->type) {
 	case FG_MA_TABLE:
-		submit(call->c, call->n, act->op);
+		submit_op(ctx->c, ctx->n, act->op);
 		break;
 	case FG_MA_SEND:
-		send_msg(call->c, call->n, act->to, act->msg);
+		send_msg(ctx->c, ctx->n, act->to, act->msg);
 		break;
 	case FG_MA_LIST:
-		post(call->c, call->c->now + latency(call->c), EV_LIST,
-		     call->n);
+		schedule_event(ctx->c, ctx->c->now + latency(ctx->c), EV_LIST,
+			       ctx->n);
 		break;
 	case FG_MA_STANDING:
-		call->n->standing = act->standing;
+		ctx->n->standing = act->standing;
 		break;
 	default:
 		break;
 	}
 }
 
-static int key_number(const struct cluster *c, uint64_t key)
+static int find_key_index(const struct cluster *c, uint64_t key)
 {
 	for (int i = 0; i < c->n_keys; i++)
 		if (c->keys[i] == key)
@@ -200,7 +203,8 @@
 	g_assert_not_reached();
 }
 
-/* An order may only go out while every later owner will find its intent. */
+/* An order may only be sent once its intent is in the owner row, where every
+ * later owner finds it. */
 static void check_intent_stored(struct cluster *c,
 				const struct fg_owner_act *act)
 {
@@ -218,50 +222,50 @@
 
 static void on_owner_act(void *arg, struct fg_owner_act *act)
 {
-	struct call *call = arg;
+	struct emit_ctx *ctx = arg;
 	int k;
 
 	switch (act->type) {
 	case FG_OA_TABLE:
-		submit(call->c, call->n, act->op);
+		submit_op(ctx->c, ctx->n, act->op);
 		break;
 	case FG_OA_GAINED:
-		k = key_number(call->c, act->key);
-		call->n->gained++;
-		g_assert_cmpuint(act->fence, >, call->c->last_fence[k]);
-		call->c->last_fence[k] = act->fence;
+		k = find_key_index(ctx->c, act->key);
+		ctx->n->gained++;
+		g_assert_cmpuint(act->fence, >, ctx->c->last_fence[k]);
+		ctx->c->last_fence[k] = act->fence;
 		break;
 	case FG_OA_LOST:
-		call->n->lost++;
+		ctx->n->lost++;
 		break;
 	case FG_OA_INTENT_OK:
-		check_intent_stored(call->c, act);
-		call->n->intents_ok++;
+		check_intent_stored(ctx->c, act);
+		ctx->n->intents_ok++;
 		break;
 	case FG_OA_INTENT_FAILED:
-		call->n->intents_failed++;
+		ctx->n->intents_failed++;
 		break;
 	case FG_OA_RELEASED:
-		call->n->released++;
+		ctx->n->released++;
 		break;
 	case FG_OA_CHANGED:
 		break;
 	}
 }
 
-static void tick(struct cluster *c, struct instance *n)
+static void run_tick(struct cluster *c, struct instance *n)
 {
-	struct call call = { .c = c, .n = n };
+	struct emit_ctx ctx = { .c = c, .n = n };
 	fg_ms now = instance_clock(c, n);
 
-	fg_member_tick(n->member, now, on_member_act, &call);
-	fg_owner_tick(n->owner, now, on_owner_act, &call);
-	post(c, c->now + TICK_MS, EV_TICK, n);
+	fg_member_tick(n->member, now, on_member_act, &ctx);
+	fg_owner_tick(n->owner, now, on_owner_act, &ctx);
+	schedule_event(c, c->now + TICK_MS, EV_TICK, n);
 }
 
-static void list(struct cluster *c, struct instance *n)
+static void deliver_list(struct cluster *c, struct instance *n)
 {
-	struct call call = { .c = c, .n = n };
+	struct emit_ctx ctx = { .c = c, .n = n };
 	struct fg_listed listed[INSTANCES_MAX];
 	size_t count = 0;
 	bool down = c->now < c->outage_until || n->platform_cut;
@@ -271,32 +275,32 @@
 			listed[count++] = c->instances[i].self;
 	fg_member_on_list(n->member, instance_clock(c, n),
 			  down ? FG_PF_DOWN : FG_PF_OK, listed, count,
-			  on_member_act, &call);
+			  on_member_act, &ctx);
 }
 
-static void deliver(struct cluster *c, struct event *ev)
+static void deliver_event(struct cluster *c, struct event *ev)
 {
-	struct call call = { .c = c, .n = ev->node };
-	fg_ms now = instance_clock(c, ev->node);
+	struct emit_ctx ctx = { .c = c, .n = ev->instance };
+	fg_ms now = instance_clock(c, ev->instance);
 
 	switch (ev->type) {
 	case EV_TICK:
-		tick(c, ev->node);
+		run_tick(c, ev->instance);
 		break;
 	case EV_RESULT:
-		if (!fg_member_on_table(ev->node->member, now, ev->res,
-					on_member_act, &call))
-			fg_owner_on_table(ev->node->owner, now, ev->res,
-					  on_owner_act, &call);
+		if (!fg_member_on_table(ev->instance->member, now, ev->res,
+					on_member_act, &ctx))
+			fg_owner_on_table(ev->instance->owner, now, ev->res,
+					  on_owner_act, &ctx);
 		break;
 	case EV_MSG:
-		if (ev->from_side == ev->node->partition &&
-		    !c->link_cut[ev->from_node->index][ev->node->index])
-			fg_member_on_msg(ev->node->member, now, ev->from,
-					 ev->msg, on_member_act, &call);
+		if (ev->from_partition == ev->instance->partition &&
+		    !c->link_cut[ev->from_instance->index][ev->instance->index])
+			fg_member_on_msg(ev->instance->member, now, ev->from,
+					 ev->msg, on_member_act, &ctx);
 		break;
 	case EV_LIST:
-		list(c, ev->node);
+		deliver_list(c, ev->instance);
 		break;
 	case EV_OP:
 		break;
@@ -329,7 +333,7 @@
 			   ? INSTANCES_MAX + c->names_given
 			   : n->index);
 	n->clock_offset = (fg_ms)fg_rand_below(&c->rand, 100000000);
-	n->clock_rate = 1 + DRIFT * (2 * fg_rand_unit(&c->rand) - 1);
+	n->clock_rate = 1 + CLOCK_DRIFT_MAX * (2 * fg_rand_unit(&c->rand) - 1);
 	mc.self = n->self;
 	mc.boot = fg_rand_next(&c->rand);
 	oc.self = n->self.id;
@@ -338,7 +342,8 @@
 	for (int i = 0; i < c->n_keys; i++)
 		fg_owner_set_key(n->owner, c->keys[i], c->key_region[i], "dc-1",
 				 false);
-	post(c, c->now + (fg_ms)fg_rand_below(&c->rand, TICK_MS), EV_TICK, n);
+	schedule_event(c, c->now + (fg_ms)fg_rand_below(&c->rand, TICK_MS),
+		       EV_TICK, n);
 	return n;
 }
 
@@ -354,30 +359,30 @@
 
 void cluster_leave(struct cluster *c, struct instance *n)
 {
-	struct call call = { .c = c, .n = n };
+	struct emit_ctx ctx = { .c = c, .n = n };
 
-	fg_member_leave(n->member, instance_clock(c, n), on_member_act, &call);
+	fg_member_leave(n->member, instance_clock(c, n), on_member_act, &ctx);
 	fg_owner_release_all(n->owner, instance_clock(c, n), on_owner_act,
-			     &call);
+			     &ctx);
 }
 
 void cluster_release_lease(struct cluster *c, struct instance *n)
 {
-	struct call call = { .c = c, .n = n };
+	struct emit_ctx ctx = { .c = c, .n = n };
 
 	fg_member_release_lease(n->member, instance_clock(c, n), on_member_act,
-				&call);
+				&ctx);
 }
 
 void cluster_store_intent(struct cluster *c, struct instance *n, int k,
 			  uint64_t id)
 {
-	struct call call = { .c = c, .n = n };
+	struct emit_ctx ctx = { .c = c, .n = n };
 	struct fg_intent in = { .id = id, .slot = 1, .av = { 7, 1 } };
 
 	in.life_ms = 1000;
 	fg_owner_store_intent(n->owner, instance_clock(c, n), c->keys[k], &in,
-			      on_owner_act, &call);
+			      on_owner_act, &ctx);
 }
 
 /* ---- Cluster ---- */
@@ -389,8 +394,8 @@
 
 	fg_rand_seed(&c->rand, seed);
 	c->now = 1;
-	c->events = g_tree_new_full(by_time, NULL, NULL, NULL);
-	c->table = g_tree_new_full(by_name, NULL, NULL, cluster_row_free);
+	c->events = g_tree_new_full(compare_events, NULL, NULL, NULL);
+	c->table = g_tree_new_full(compare_keys, NULL, NULL, cluster_row_free);
 	c->n_keys = n_keys;
 	for (int i = 0; i < n_keys; i++) {
 		c->keys[i] = fg_hash_mix(77, (uint64_t)i);
@@ -410,7 +415,7 @@
 	return c;
 }
 
-static gboolean free_event(gpointer key, gpointer value, gpointer data)
+static gboolean free_tree_event(gpointer key, gpointer value, gpointer data)
 {
 	(void)key;
 	(void)data;
@@ -423,7 +428,7 @@
 	for (int i = 0; i < c->n_instances; i++)
 		if (c->instances[i].alive)
 			cluster_kill(c, &c->instances[i]);
-	g_tree_foreach(c->events, free_event, NULL);
+	g_tree_foreach(c->events, free_tree_event, NULL);
 	g_tree_destroy(c->events);
 	g_tree_destroy(c->table);
 	g_free(c);
@@ -466,21 +471,21 @@
 	return true;
 }
 
-static void step(struct cluster *c, struct event *ev)
+static void run_event(struct cluster *c, struct event *ev)
 {
-	struct instance *n = ev->node;
-	bool gone = !n->alive || n->self.id != ev->node_id;
+	struct instance *n = ev->instance;
+	bool gone = !n->alive || n->self.id != ev->instance_id;
 
 	if (ev->type == EV_OP) {
-		run_op(c, ev);
+		deliver_op(c, ev);
 	} else if (!gone && n->paused_until > c->now) {
-		/* Kept, in order, until the node goes on. */
+		/* Postponed, in order, until the pause ends. */
 		g_tree_remove(c->events, ev);
 		ev->at = n->paused_until;
 		g_tree_insert(c->events, ev, ev);
 		return;
 	} else if (!gone) {
-		deliver(c, ev);
+		deliver_event(c, ev);
 	}
 	g_tree_remove(c->events, ev);
 	event_free(ev);
@@ -488,7 +493,7 @@
 
 void cluster_run_until(struct cluster *c, fg_ms until)
 {
-	fg_ms checked = 0;
+	fg_ms checked_at = 0;
 
 	for (;;) {
 		GTreeNode *first = g_tree_node_first(c->events);
@@ -500,9 +505,9 @@
 		if (ev->at > until)
 			break;
 		c->now = MAX(c->now, ev->at);
-		step(c, ev);
-		if (c->now - checked >= 5) {
-			checked = c->now;
+		run_event(c, ev);
+		if (c->now - checked_at >= 5) {
+			checked_at = c->now;
 			cluster_all_keys_owned(c);
 		}
 	}
--- a/tests/unit/cluster_table.c
+++ b/tests/unit/cluster_table.c
@@ -1,4 +1,4 @@
-/* The in-memory table of the cluster. */
+/* The in-memory table of the simulated cluster. */
 #include <string.h>
 
 #include "cluster.h"
@@ -11,14 +11,14 @@
 	g_free(row);
 }
 
-static uint64_t version_of(struct cluster *c, const char *key)
+static uint64_t current_version(struct cluster *c, const char *key)
 {
 	struct fg_row *row = g_tree_lookup(c->table, key);
 
 	return row != NULL ? row->row_version : 0;
 }
 
-static void table_put(struct cluster *c, const struct fg_write *w)
+static void apply_write(struct cluster *c, const struct fg_write *w)
 {
 	struct fg_row *row;
 
@@ -34,15 +34,15 @@
 	g_tree_replace(c->table, row->key, row);
 }
 
-static void table_txn(struct cluster *c, const struct fg_table_op *op,
-		      struct fg_table_result *res)
+static void run_txn(struct cluster *c, const struct fg_table_op *op,
+		    struct fg_table_result *res)
 {
 	for (size_t i = 0; i < op->n_writes; i++) {
 		const struct fg_write *w = &op->writes[i];
 		struct fg_row *row = g_tree_lookup(c->table, w->key);
 
 		if (w->expect_version == FG_ANY_VERSION ||
-		    w->expect_version == version_of(c, w->key))
+		    w->expect_version == current_version(c, w->key))
 			continue;
 		res->result = FG_PF_CONFLICT;
 		fg_table_result_row(res, w->key,
@@ -51,7 +51,7 @@
 		return;
 	}
 	for (size_t i = 0; i < op->n_writes; i++) {
-		table_put(c, &op->writes[i]);
+		apply_write(c, &op->writes[i]);
 		if (!c->no_versions)
 			fg_table_result_row(res, op->writes[i].key,
 					    c->row_version, NULL);
@@ -59,15 +59,15 @@
 	c->table_writes++;
 }
 
-struct scan {
+struct scan_ctx {
 	const char *prefix;
 	struct fg_table_result *res;
 };
 
-static gboolean scan_row(gpointer key, gpointer value, gpointer data)
+static gboolean add_matching_row(gpointer key, gpointer value, gpointer data)
 {
 	struct fg_row *row = value;
-	struct scan *s = data;
+	struct scan_ctx *s = data;
 
 	if (g_str_has_prefix(key, s->prefix))
 		fg_table_result_row(s->res, row->key, row->row_version,
@@ -80,16 +80,16 @@
 {
 	struct fg_table_result *res =
 		fg_table_result_new(op->id, op->kind, FG_PF_OK);
-	struct scan s = { .prefix = op->key, .res = res };
+	struct scan_ctx s = { .prefix = op->key, .res = res };
 	struct fg_row *row;
 
 	if (op->kind == FG_OP_TXN) {
-		table_txn(c, op, res);
+		run_txn(c, op, res);
 		return res;
 	}
 	c->table_reads++;
 	if (op->kind == FG_OP_SCAN) {
-		g_tree_foreach(c->table, scan_row, &s);
+		g_tree_foreach(c->table, add_matching_row, &s);
 		return res;
 	}
 	row = g_tree_lookup(c->table, op->key);
@@ -101,15 +101,15 @@
 	return res;
 }
 
-struct row_count {
+struct count_ctx {
 	const char *region;
 	int rows;
 };
 
-static gboolean count_row(gpointer key, gpointer value, gpointer data)
+static gboolean count_lease_row(gpointer key, gpointer value, gpointer data)
 {
 	const struct fg_row *row = value;
-	struct row_count *count = data;
+	struct count_ctx *count = data;
 
 	if (g_str_has_prefix(key, "session/") &&
 	    strstr(row->value, count->region) != NULL)
@@ -119,8 +119,8 @@
 
 int cluster_count_dead_rows(struct cluster *c, const char *region)
 {
-	struct row_count count = { .region = region };
+	struct count_ctx count = { .region = region };
 
-	g_tree_foreach(c->table, count_row, &count);
+	g_tree_foreach(c->table, count_lease_row, &count);
 	return count.rows - cluster_count_live(c, region);
 }
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -4,7 +4,7 @@
 #include "cluster.h"
 #include "member/fg_member_internal.h"
 
-static struct cluster *start(uint64_t seed, int n)
+static struct cluster *start_cluster(uint64_t seed, int n)
 {
 	struct cluster *c = cluster_new(seed, 0, 1);
 
@@ -14,14 +14,15 @@
 	return c;
 }
 
-static enum fg_standing standing(const struct cluster *c, int i)
+static enum fg_standing get_standing(const struct cluster *c, int i)
 {
 	const struct instance *n = &c->instances[i];
 
 	return fg_member_standing(n->member, instance_clock(c, n));
 }
 
-static enum fg_peer_state state(const struct cluster *c, int of, uint64_t id)
+static enum fg_peer_state get_state(const struct cluster *c, int of,
+				    uint64_t id)
 {
 	const struct fg_peer_view *v =
 		fg_member_find(c->instances[of].member, id);
@@ -29,13 +30,13 @@
 	return v != NULL ? v->state : 0;
 }
 
-static void test_all_see_all(void)
+static void test_views_agree(void)
 {
-	struct cluster *c = start(1, 9);
+	struct cluster *c = start_cluster(1, 9);
 	uint64_t ids[16];
 
 	for (int i = 0; i < 9; i++) {
-		g_assert_cmpint(standing(c, i), ==, FG_STANDING_CONFIRMED);
+		g_assert_cmpint(get_standing(c, i), ==, FG_STANDING_CONFIRMED);
 		g_assert_cmpuint(fg_member_list_live(c->instances[i].member,
 						     "coast", ids, 16),
 				 ==, 9);
@@ -48,10 +49,10 @@
 	cluster_free(c);
 }
 
-/* A killed instance is given up by all, and its row is deleted. */
-static void test_death(void)
+/* All others see a killed instance as DEAD, and its row is deleted. */
+static void test_killed_instance(void)
 {
-	struct cluster *c = start(2, 9);
+	struct cluster *c = start_cluster(2, 9);
 	uint64_t id = c->instances[4].self.id;
 
 	cluster_kill(c, &c->instances[4]);
@@ -59,43 +60,44 @@
 	g_assert_cmpint(g_tree_nnodes(c->table), ==, 8);
 	for (int i = 0; i < 9; i++)
 		if (i != 4)
-			g_assert_cmpint(state(c, i, id), ==, FG_PEER_DEAD);
+			g_assert_cmpint(get_state(c, i, id), ==, FG_PEER_DEAD);
 	cluster_free(c);
 }
 
-/* A lapsed row goes only reachable_ms after its deleter had its quorum. */
-static void test_deletion_waits(void)
+/* A lapsed row is deleted no earlier than reachable_ms after the quorum for the
+ * deletion was met. */
+static void test_reaping_waits(void)
 {
-	struct cluster *c = start(13, 6);
+	struct cluster *c = start_cluster(13, 6);
 	uint64_t id = c->instances[5].self.id;
-	fg_ms proven[5] = { 0 };
-	fg_ms longest_ms = 0;
+	fg_ms quorum_at[5] = { 0 };
+	fg_ms wait_max_ms = 0;
 
 	cluster_kill(c, &c->instances[5]);
 	while (g_tree_nnodes(c->table) == 6 && c->now < 60000) {
 		cluster_run_until(c, c->now + 10);
 		for (int i = 0; i < 5; i++) {
-			struct fg_peer_entry *e =
-				fg_member_entry(c->instances[i].member, id);
+			struct fg_peer_entry *e = fg_member_find_entry(
+				c->instances[i].member, id);
 
-			if (e->proven_at != 0)
-				proven[i] = e->proven_at;
+			if (e->reap_quorum_at != 0)
+				quorum_at[i] = e->reap_quorum_at;
 		}
 	}
 	for (int i = 0; i < 5; i++)
-		if (proven[i] != 0)
-			longest_ms = MAX(longest_ms,
-					 instance_clock(c, &c->instances[i]) -
-						 proven[i]);
+		if (quorum_at[i] != 0)
+			wait_max_ms = MAX(wait_max_ms,
+					  instance_clock(c, &c->instances[i]) -
+						  quorum_at[i]);
 	g_assert_cmpint(g_tree_nnodes(c->table), ==, 5);
-	g_assert_cmpint(longest_ms, >=, c->conf.lease_ms * 2 / 3);
+	g_assert_cmpint(wait_max_ms, >=, c->conf.lease_ms * 2 / 3);
 	cluster_free(c);
 }
 
-/* Node 1 passes on to node 0 that node 2 reaches the platform. */
-static void test_contact_is_passed_on(void)
+/* Instance 1 relays to instance 0 that instance 2 reaches the platform. */
+static void test_contact_is_relayed(void)
 {
-	struct cluster *c = start(14, 3);
+	struct cluster *c = start_cluster(14, 3);
 	fg_ms contact;
 
 	c->instances[0].platform_cut = true;
@@ -103,93 +105,97 @@
 	c->link_cut[0][2] = true;
 	c->link_cut[2][0] = true;
 	cluster_run_until(c, c->now + 10000);
-	contact = fg_member_contact(c->instances[0].member);
+	contact = fg_member_last_contact(c->instances[0].member);
 	g_assert_cmpint(instance_clock(c, &c->instances[0]) - contact, <, 3000);
 	cluster_free(c);
 }
 
-/* A planned stop is known at once, and nothing waits for a lease to lapse. */
-static void test_leave_and_quit(void)
+/* The others learn of a planned stop at once and need not wait for the lease to
+ * lapse. */
+static void test_leave_and_release(void)
 {
-	struct cluster *c = start(3, 5);
+	struct cluster *c = start_cluster(3, 5);
 	uint64_t id = c->instances[0].self.id;
 
 	cluster_leave(c, &c->instances[0]);
 	cluster_run_until(c, c->now + 100);
 	for (int i = 1; i < 5; i++)
-		g_assert_cmpint(state(c, i, id), ==, FG_PEER_LEAVING);
+		g_assert_cmpint(get_state(c, i, id), ==, FG_PEER_LEAVING);
 	cluster_release_lease(c, &c->instances[0]);
 	cluster_run_until(c, c->now + 1500);
-	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_ISOLATED);
+	g_assert_cmpint(get_standing(c, 0), ==, FG_STANDING_ISOLATED);
 	for (int i = 1; i < 5; i++)
-		g_assert_cmpint(state(c, i, id), ==, FG_PEER_DEAD);
+		g_assert_cmpint(get_state(c, i, id), ==, FG_PEER_DEAD);
 	cluster_free(c);
 }
 
-static void test_outage_holds(void)
+static void test_outage_standing(void)
 {
-	struct cluster *c = start(4, 6);
+	struct cluster *c = start_cluster(4, 6);
 
 	c->outage_until = c->now + 60000;
 	cluster_run_until(c, c->now + 50000);
 	for (int i = 0; i < 6; i++)
-		g_assert_cmpint(standing(c, i), ==, FG_STANDING_OUTAGE);
+		g_assert_cmpint(get_standing(c, i), ==, FG_STANDING_OUTAGE);
 	cluster_run_until(c, c->now + 15000);
 	for (int i = 0; i < 6; i++)
-		g_assert_cmpint(standing(c, i), ==, FG_STANDING_CONFIRMED);
+		g_assert_cmpint(get_standing(c, i), ==, FG_STANDING_CONFIRMED);
 	cluster_free(c);
 }
 
-/* Cut from the platform alone: isolated, since its peers reach it. */
+/* An instance that alone is cut off from the platform becomes ISOLATED, since
+ * its peers still reach the platform. */
 static void test_cut_from_platform(void)
 {
-	struct cluster *c = start(5, 6);
+	struct cluster *c = start_cluster(5, 6);
 
 	c->instances[0].platform_cut = true;
 	cluster_run_until(c, c->now + 3500);
-	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_ISOLATED);
-	g_assert_cmpint(standing(c, 1), ==, FG_STANDING_CONFIRMED);
+	g_assert_cmpint(get_standing(c, 0), ==, FG_STANDING_ISOLATED);
+	g_assert_cmpint(get_standing(c, 1), ==, FG_STANDING_CONFIRMED);
 	cluster_clear_faults(c);
 	cluster_run_until(c, c->now + 8000);
-	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_CONFIRMED);
+	g_assert_cmpint(get_standing(c, 0), ==, FG_STANDING_CONFIRMED);
 	cluster_free(c);
 }
 
-/* An outage and a cut: the larger part holds, the smaller part does not. */
+/* A network partition during an outage: the larger part keeps the standing
+ * OUTAGE, the smaller part becomes ISOLATED. */
 static void test_minority_in_outage(void)
 {
-	struct cluster *c = start(6, 6);
+	struct cluster *c = start_cluster(6, 6);
 
 	c->outage_until = c->now + 60000;
 	c->instances[0].partition = 1;
 	c->instances[1].partition = 1;
 	cluster_run_until(c, c->now + 20000);
-	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_ISOLATED);
-	g_assert_cmpint(standing(c, 1), ==, FG_STANDING_ISOLATED);
+	g_assert_cmpint(get_standing(c, 0), ==, FG_STANDING_ISOLATED);
+	g_assert_cmpint(get_standing(c, 1), ==, FG_STANDING_ISOLATED);
 	for (int i = 2; i < 6; i++)
-		g_assert_cmpint(standing(c, i), ==, FG_STANDING_OUTAGE);
+		g_assert_cmpint(get_standing(c, i), ==, FG_STANDING_OUTAGE);
 	cluster_free(c);
 }
 
 static void test_pause(void)
 {
-	struct cluster *c = start(7, 4);
+	struct cluster *c = start_cluster(7, 4);
 	struct instance *n = &c->instances[2];
 
 	n->paused_until = c->now + 1200;
 	cluster_run_until(c, c->now + 600);
-	/* Seen from within, before its first tick after the pause. */
-	g_assert_cmpint(standing(c, 2), ==, FG_STANDING_ISOLATED);
+	/* The instance itself reports the pause before its next tick. */
+	g_assert_cmpint(get_standing(c, 2), ==, FG_STANDING_ISOLATED);
 	cluster_run_until(c, c->now + 3000);
-	g_assert_cmpint(standing(c, 2), ==, FG_STANDING_CONFIRMED);
+	g_assert_cmpint(get_standing(c, 2), ==, FG_STANDING_CONFIRMED);
 	cluster_free(c);
 }
 
-/* All die; those who come instead at other addresses cannot tell whether the
- * old ones are dead or cut off, so that they wait longer. */
-static void test_total_restart(void)
+/* All instances are killed and replaced at other addresses. The new ones cannot
+ * tell whether the old ones are dead or cut off, so that they wait longer
+ * before they delete the rows. */
+static void test_region_replaced(void)
 {
-	struct cluster *c = start(8, 3);
+	struct cluster *c = start_cluster(8, 3);
 
 	c->new_address_share = 1;
 	for (int i = 0; i < 3; i++)
@@ -201,15 +207,15 @@
 	cluster_run_until(c, c->now + 30000);
 	g_assert_cmpint(g_tree_nnodes(c->table), ==, 3);
 	for (int i = 0; i < 3; i++)
-		g_assert_cmpint(standing(c, i), ==, FG_STANDING_CONFIRMED);
+		g_assert_cmpint(get_standing(c, i), ==, FG_STANDING_CONFIRMED);
 	cluster_free(c);
 }
 
-/* An instance that crashes again and again at one address leaves many lapsed
- * rows, which must not cost the region its quorum. */
+/* An instance that crashes repeatedly at one address leaves many lapsed rows.
+ * They must not count for the region's size, or the quorum could not be met. */
 static void test_crash_loop(void)
 {
-	struct cluster *c = start(12, 2);
+	struct cluster *c = start_cluster(12, 2);
 
 	for (int i = 0; i < 8; i++) {
 		cluster_kill(c, &c->instances[0]);
@@ -229,16 +235,17 @@
 	for (int i = 0; i < 3; i++)
 		cluster_join(c, "coast");
 	cluster_run_until(c, 9000);
-	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_JOINING);
+	g_assert_cmpint(get_standing(c, 0), ==, FG_STANDING_JOINING);
 	cluster_run_until(c, 20000);
-	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_CONFIRMED);
+	g_assert_cmpint(get_standing(c, 0), ==, FG_STANDING_CONFIRMED);
 	cluster_free(c);
 }
 
-/* Another process under the same name: the first one found out stops. */
+/* Another process writes the row of the same name: the instance that notices it
+ * becomes ISOLATED for good. */
 static void test_same_name(void)
 {
-	struct cluster *c = start(10, 3);
+	struct cluster *c = start_cluster(10, 3);
 	struct fg_row *row;
 
 	row = g_tree_lookup(c->table, "session/entry-0");
@@ -248,12 +255,13 @@
 	g_assert_nonnull(at);
 	at[7] = at[7] == '1' ? '2' : '1';
 	cluster_run_until(c, c->now + 5000);
-	g_assert_cmpint(standing(c, 0), ==, FG_STANDING_ISOLATED);
+	g_assert_cmpint(get_standing(c, 0), ==, FG_STANDING_ISOLATED);
 	cluster_free(c);
 }
 
-/* The adapter may answer writes without the new versions. */
-static void test_no_versions(void)
+/* The platform adapter may answer writes without the new row versions; the
+ * lease is then read back. */
+static void test_writes_without_versions(void)
 {
 	struct cluster *c = cluster_new(11, 0, 1);
 
@@ -262,7 +270,7 @@
 		cluster_join(c, "coast");
 	cluster_run_until(c, 20000);
 	for (int i = 0; i < 3; i++)
-		g_assert_cmpint(standing(c, i), ==, FG_STANDING_CONFIRMED);
+		g_assert_cmpint(get_standing(c, i), ==, FG_STANDING_CONFIRMED);
 	cluster_free(c);
 }
 
@@ -292,21 +300,21 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/member/all_see_all", test_all_see_all);
-	g_test_add_func("/member/death", test_death);
-	g_test_add_func("/member/deletion_waits", test_deletion_waits);
-	g_test_add_func("/member/contact_is_passed_on",
-			test_contact_is_passed_on);
-	g_test_add_func("/member/leave_and_quit", test_leave_and_quit);
-	g_test_add_func("/member/outage_holds", test_outage_holds);
+	g_test_add_func("/member/views_agree", test_views_agree);
+	g_test_add_func("/member/killed_instance", test_killed_instance);
+	g_test_add_func("/member/reaping_waits", test_reaping_waits);
+	g_test_add_func("/member/contact_is_relayed", test_contact_is_relayed);
+	g_test_add_func("/member/leave_and_release", test_leave_and_release);
+	g_test_add_func("/member/outage_standing", test_outage_standing);
 	g_test_add_func("/member/cut_from_platform", test_cut_from_platform);
 	g_test_add_func("/member/minority_in_outage", test_minority_in_outage);
 	g_test_add_func("/member/pause", test_pause);
-	g_test_add_func("/member/total_restart", test_total_restart);
+	g_test_add_func("/member/region_replaced", test_region_replaced);
 	g_test_add_func("/member/crash_loop", test_crash_loop);
 	g_test_add_func("/member/start_in_outage", test_start_in_outage);
 	g_test_add_func("/member/same_name", test_same_name);
-	g_test_add_func("/member/no_versions", test_no_versions);
+	g_test_add_func("/member/writes_without_versions",
+			test_writes_without_versions);
 	g_test_add_func("/member/row_codec", test_row_codec);
 	return g_test_run();
 }
--- a/tests/unit/test_owner.c
+++ b/tests/unit/test_owner.c
@@ -12,11 +12,11 @@
 
 static uint64_t current_seed;
 
-static struct cluster *start_cluster(uint64_t seed, int n_nodes, int n_keys)
+static struct cluster *start_cluster(uint64_t seed, int n_instances, int n_keys)
 {
 	struct cluster *c = cluster_new(seed, n_keys, 1);
 
-	for (int i = 0; i < n_nodes; i++)
+	for (int i = 0; i < n_instances; i++)
 		cluster_join(c, "coast");
 	cluster_run_until(c, 10000);
 	g_assert_true(cluster_all_keys_owned(c));
@@ -300,10 +300,11 @@
 }
 
 /*
- * Nodes 0 to 4 lose the platform and keep acting, as in an outage. Node 5
- * reaches the platform, but not nodes 0 and 1. Nodes 2 to 4 must relay what
- * they learn from node 5, so that nodes 0 and 1 stop before node 5 deletes
- * their leases. Pings are so rare that only surveys carry this information.
+ * Instances 0 to 4 lose the platform and keep acting, as in an outage. Instance
+ * 5 reaches the platform, but not instances 0 and 1. Instances 2 to 4 must
+ * relay what they learn from instance 5, so that instances 0 and 1 stop before
+ * instance 5 deletes their leases. Pings are so rare that only quorum pings
+ * carry this information.
  */
 static void run_relay_case(uint64_t seed)
 {
@@ -331,7 +332,7 @@
 		run_relay_case(seed);
 }
 
-/* A single node that reaches the platform takes no keys from the majority,
+/* A single instance that reaches the platform takes no keys from the majority,
  * which keeps acting without the platform. */
 static void test_minority_with_platform(void)
 {
@@ -350,31 +351,31 @@
 }
 
 /*
- * Node x loses its lease while nodes a and c (`other`) agree on that. Then a is
- * cut off from c and from the platform, and only x answers a. Node a does not
- * know that the region has shrunk to a and c, so that c can delete a's lease
- * without the agreement of any other node.
+ * Instance x loses its lease while instances a and c (`other`) agree on that.
+ * Then a is cut off from c and from the platform, and only x answers a.
+ * Instance a does not know that the region has shrunk to a and c, so that c can
+ * delete a's lease without the agreement of any other instance.
  */
 static void run_shrunken_region_case(uint64_t seed)
 {
 	struct cluster *c = cluster_new(seed, 1, 1);
-	struct instance *node;
+	struct instance *holder;
 	int a, x, other;
 
 	c->new_address_share = 1;
 	for (int i = 0; i < 3; i++)
 		cluster_join(c, "coast");
 	cluster_run_until(c, 10000);
-	node = cluster_acting_owner(c, 0);
-	g_assert_nonnull(node);
-	a = node->index;
+	holder = cluster_acting_owner(c, 0);
+	g_assert_nonnull(holder);
+	a = holder->index;
 	x = (a + 1) % 3;
 	other = (a + 2) % 3;
 	c->instances[x].platform_cut = true;
 	cut_pair(c, x, a, true);
 	cut_pair(c, x, other, true);
 	cluster_run_until(c, c->now + 4500 + (fg_ms)seed * 20);
-	node->platform_cut = true;
+	holder->platform_cut = true;
 	cluster_run_until(c, c->now + 400);
 	cut_pair(c, a, other, true);
 	cut_pair(c, a, x, false);
@@ -441,7 +442,7 @@
 
 /* ---- Seeded runs ---- */
 
-static struct instance *pick_live_node(struct cluster *c)
+static struct instance *pick_live_instance(struct cluster *c)
 {
 	struct instance *n = &c->instances[fg_rand_below(
 		&c->rand, (uint64_t)c->n_instances)];
@@ -462,8 +463,8 @@
 	}
 }
 
-/* Cuts random pairs of nodes, both ways, so that reachability is not
- * transitive, and some nodes from the platform. */
+/* Cuts random pairs of instances, both ways, so that reachability is not
+ * transitive, and some instances from the platform. */
 static void cut_pairs(struct cluster *c)
 {
 	uint64_t share = 1 + fg_rand_below(&c->rand, 8);
@@ -482,7 +483,7 @@
 }
 
 /* Replaces an instance by a new one, after a planned stop or a crash. */
-static void replace_node(struct cluster *c, struct instance *n)
+static void replace_instance(struct cluster *c, struct instance *n)
 {
 	const char *region = g_intern_string(n->self.region);
 
@@ -496,7 +497,7 @@
 
 static void inject_fault(struct cluster *c)
 {
-	struct instance *n = pick_live_node(c);
+	struct instance *n = pick_live_instance(c);
 	fg_ms length_ms = (fg_ms)fg_rand_below(&c->rand, 9000);
 
 	switch (fg_rand_below(&c->rand, 12)) {
@@ -528,7 +529,7 @@
 		break;
 	case 8:
 		if (n != NULL)
-			replace_node(c, n);
+			replace_instance(c, n);
 		break;
 	case 9:
 	case 10:
