--- a/lib/check/fg_check.c
+++ b/lib/check/fg_check.c
@@ -289,13 +289,13 @@
 	return c->findings[p].events;
 }
 
-uint32_t fg_check_offenders(const struct fg_check *c, enum fg_promise p)
+uint32_t fg_check_evidence_count(const struct fg_check *c, enum fg_promise p)
 {
 	return c->findings[p].offenders->len;
 }
 
-const char *fg_check_offender(const struct fg_check *c, enum fg_promise p,
-			      uint32_t i)
+const char *fg_check_evidence_line(const struct fg_check *c, enum fg_promise p,
+				   uint32_t i)
 {
 	return event_at(c->findings[p].offenders, i)->line;
 }
--- a/lib/check/fg_check.h
+++ b/lib/check/fg_check.h
@@ -77,9 +77,9 @@
 uint32_t fg_check_events(const struct fg_check *c, enum fg_promise p);
 
 /* The lines that show the violation, in order of time. */
-uint32_t fg_check_offenders(const struct fg_check *c, enum fg_promise p);
-const char *fg_check_offender(const struct fg_check *c, enum fg_promise p,
-			      uint32_t i);
+uint32_t fg_check_evidence_count(const struct fg_check *c, enum fg_promise p);
+const char *fg_check_evidence_line(const struct fg_check *c, enum fg_promise p,
+				   uint32_t i);
 
 /* Why the promise is undecided; "" otherwise. */
 const char *fg_check_reason(const struct fg_check *c, enum fg_promise p);
--- a/lib/log/fg_log.c
+++ b/lib/log/fg_log.c
@@ -44,7 +44,7 @@
 	uint32_t lines;
 };
 
-static struct fg_log_bounds bounds; /* lines_per_s 0: not bounded */
+static struct fg_log_rate_limits bounds; /* lines_per_s 0: not bounded */
 static int output = STDERR_FILENO;
 static int64_t second;	 /* to which the counts belong */
 static uint32_t lines;	 /* written in it */
@@ -340,7 +340,7 @@
 	va_end(ap);
 }
 
-void fg_log_bound(const struct fg_log_bounds *wanted)
+void fg_log_limit_rate(const struct fg_log_rate_limits *wanted)
 {
 	int flags;
 
--- a/lib/log/fg_log.h
+++ b/lib/log/fg_log.h
@@ -36,7 +36,7 @@
 void fg_log_open(const char *who, enum fg_log_level level);
 
 /* Bounds of the lines a second. */
-struct fg_log_bounds {
+struct fg_log_rate_limits {
 	uint32_t lines_per_s;	/* all but routine ones */
 	uint32_t routine_per_s; /* of fg_log_routine() */
 };
@@ -47,7 +47,7 @@
  * first line of a later second is preceded by one that counts what was dropped
  * by module and event.
  */
-void fg_log_bound(const struct fg_log_bounds *bounds);
+void fg_log_limit_rate(const struct fg_log_rate_limits *bounds);
 
 /* Closes the log; later lines are dropped. */
 void fg_log_close(void);
--- a/lib/settings/fg_settings.c
+++ b/lib/settings/fg_settings.c
@@ -145,7 +145,7 @@
 
 /* ---- Values ---- */
 
-bool fg_settings_address_ok(const char *text)
+bool fg_settings_is_address(const char *text)
 {
 	const char *colon = strrchr(text, ':');
 	char ip[FG_ADDR_BYTES];
@@ -200,7 +200,7 @@
 		g_strlcpy(member, text, FG_NAME_BYTES);
 		return NULL;
 	case FG_KEY_ADDR:
-		if (!fg_settings_address_ok(text))
+		if (!fg_settings_is_address(text))
 			return "an IP number and port such as 192.0.2.1:7000";
 		g_strlcpy(member, text, FG_ADDR_BYTES);
 		return NULL;
--- a/lib/settings/fg_settings.h
+++ b/lib/settings/fg_settings.h
@@ -112,6 +112,6 @@
 void fg_settings_free(struct fg_settings *s);
 
 /* True for "192.0.2.1:80" and "[2001:db8::1]:80" that fit FG_ADDR_BYTES. */
-bool fg_settings_address_ok(const char *text);
+bool fg_settings_is_address(const char *text);
 
 #endif
--- a/programs/fg-check.c
+++ b/programs/fg-check.c
@@ -67,8 +67,8 @@
 		printf("promise %d: undecided: %s\n", p, fg_check_reason(c, p));
 	if (verdict == FG_VERDICT_VIOLATED)
 		printf("promise %d: VIOLATED\n", p);
-	for (uint32_t i = 0; i < fg_check_offenders(c, p); i++)
-		printf("  %s\n", fg_check_offender(c, p, i));
+	for (uint32_t i = 0; i < fg_check_evidence_count(c, p); i++)
+		printf("  %s\n", fg_check_evidence_line(c, p, i));
 	return verdict;
 }
 
--- a/programs/fg-gateway.c
+++ b/programs/fg-gateway.c
@@ -13,7 +13,7 @@
 
 /* At twenty requests a second and instance all lines fit; under ten times the
  * load routine ones are dropped, at some 100 bytes a line and 25 KB/s. */
-static const struct fg_log_bounds log_bounds = {
+static const struct fg_log_rate_limits log_bounds = {
 	.lines_per_s = 200,
 	.routine_per_s = 50,
 };
@@ -24,7 +24,7 @@
 	struct fg_gateway *gw;
 
 	fg_log_open(conf->name, conf->log_level);
-	fg_log_bound(&log_bounds);
+	fg_log_limit_rate(&log_bounds);
 	gw = fg_gateway_new(conf, path, &fgp_wire, &error);
 	if (gw == NULL) {
 		fprintf(stderr, "fg-gateway: %s\n", error->message);
--- a/programs/fgctl/commands.c
+++ b/programs/fgctl/commands.c
@@ -363,7 +363,7 @@
 	struct ctl one = *c;
 	json_t *state;
 
-	if (!fg_settings_address_ok(c->args[0])) {
+	if (!fg_settings_is_address(c->args[0])) {
 		ctl_error("\"%s\" is not an IP number and port", c->args[0]);
 		return CTL_USAGE;
 	}
--- a/programs/fgctl/main.c
+++ b/programs/fgctl/main.c
@@ -70,7 +70,7 @@
 static bool addresses_ok(char **addresses)
 {
 	for (char **a = addresses; *a != NULL; a++) {
-		if (fg_settings_address_ok(*a))
+		if (fg_settings_is_address(*a))
 			continue;
 		ctl_error("\"%s\" is not an IP number and port such as "
 			  "192.0.2.1:7000",
--- a/tests/unit/test_check.c
+++ b/tests/unit/test_check.c
@@ -92,7 +92,7 @@
 	out = g_strnfill(FG_PROMISE_LAST, ' ');
 	for (int p = 1; p <= FG_PROMISE_LAST; p++) {
 		out[p - 1] = " X?"[fg_check_verdict(c, p)];
-		g_assert_cmpint(fg_check_offenders(c, p) > 0, ==,
+		g_assert_cmpint(fg_check_evidence_count(c, p) > 0, ==,
 				out[p - 1] == 'X');
 		g_assert_cmpint(*fg_check_reason(c, p) != '\0', ==,
 				out[p - 1] == '?');
--- a/tests/unit/test_log_metrics.c
+++ b/tests/unit/test_log_metrics.c
@@ -115,11 +115,11 @@
  * that a writer that blocks would never come back. */
 static void write_bounded(int out)
 {
-	struct fg_log_bounds bounds = { BOUND, ROUTINE_BOUND };
+	struct fg_log_rate_limits bounds = { BOUND, ROUTINE_BOUND };
 
 	dup2(out, STDOUT_FILENO);
 	fg_log_open("me", FG_LOG_INFO);
-	fg_log_bound(&bounds);
+	fg_log_limit_rate(&bounds);
 	/* At the start of a second, so that all lines fall into one. */
 	while (fg_clock_now() % FG_MS_PER_S > 100)
 		g_usleep(10000);
@@ -157,14 +157,14 @@
 
 static void test_full_pipe(void)
 {
-	struct fg_log_bounds bounds = { 1000000, 1000000 };
+	struct fg_log_rate_limits bounds = { 1000000, 1000000 };
 	int fds[2];
 
 	if (g_test_subprocess()) {
 		g_assert_cmpint(pipe(fds), ==, 0);
 		dup2(fds[1], STDOUT_FILENO);
 		fg_log_open("me", FG_LOG_INFO);
-		fg_log_bound(&bounds);
+		fg_log_limit_rate(&bounds);
 		for (int i = 0; i < 20 * MANY; i++)
 			fg_log(FG_LOG_WARN, "test", "odd", NULL);
 		fg_log_close();
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -91,16 +91,16 @@
 
 static void test_addresses(void)
 {
-	g_assert_true(fg_settings_address_ok("192.0.2.1:80"));
-	g_assert_true(fg_settings_address_ok("[2001:db8::1]:80"));
-	g_assert_false(fg_settings_address_ok("2001:db8::1:80"));
-	g_assert_false(fg_settings_address_ok("192.0.2.1"));
-	g_assert_false(fg_settings_address_ok("192.0.2.1:0"));
-	g_assert_false(fg_settings_address_ok("192.0.2.1:65536"));
-	g_assert_false(fg_settings_address_ok("192.0.2.256:1"));
-	g_assert_false(fg_settings_address_ok(":80"));
-	g_assert_false(fg_settings_address_ok("[]:80"));
-	g_assert_false(fg_settings_address_ok(""));
+	g_assert_true(fg_settings_is_address("192.0.2.1:80"));
+	g_assert_true(fg_settings_is_address("[2001:db8::1]:80"));
+	g_assert_false(fg_settings_is_address("2001:db8::1:80"));
+	g_assert_false(fg_settings_is_address("192.0.2.1"));
+	g_assert_false(fg_settings_is_address("192.0.2.1:0"));
+	g_assert_false(fg_settings_is_address("192.0.2.1:65536"));
+	g_assert_false(fg_settings_is_address("192.0.2.256:1"));
+	g_assert_false(fg_settings_is_address(":80"));
+	g_assert_false(fg_settings_is_address("[]:80"));
+	g_assert_false(fg_settings_is_address(""));
 }
 
 static void test_switches(void)
