--- a/lib/base/fg_clock.h
+++ b/lib/base/fg_clock.h
@@ -1,10 +1,10 @@
 /*
- * fg_clock - the one clock type.
+ * fg_clock - time in milliseconds.
  *
- * fg_ms counts milliseconds. Decision modules never read a clock: the time
- * is an argument. Only the runtime calls fg_clock_now(), which reads a
- * monotonic clock that keeps counting while the machine is suspended, so that
- * a paused process sees how long it was away.
+ * All times and durations are fg_ms. Decision modules never read a clock:
+ * their callers pass the time. Only the runtime calls fg_clock_now(). Its
+ * clock is monotonic and keeps counting while the machine is suspended, which
+ * lets a process detect how long it was paused.
  */
 #ifndef FG_CLOCK_H
 #define FG_CLOCK_H
@@ -16,10 +16,11 @@
 #define FG_MS_PER_S 1000
 #define FG_MS_NEVER INT64_MAX
 
-/* Current monotonic time, suspend included. Never fails. */
+/* Returns the monotonic time, including time in suspend. Never fails. */
 fg_ms fg_clock_now(void);
 
-/* Current wall-clock time in ms since 1970, for display and logs alone. */
+/* Returns the wall-clock time in ms since 1970. For display and logs, never for
+ * durations: the wall clock may jump. */
 fg_ms fg_clock_wall(void);
 
 #endif
--- a/lib/base/fg_key.h
+++ b/lib/base/fg_key.h
@@ -1,8 +1,9 @@
 /*
- * fg_key - hash of a 64-bit key for GLib's hash tables.
+ * fg_key - hash function for 64-bit keys in GLib hash tables.
  *
- * g_int64_hash() takes the low half of a key alone. In keys made of an adapter
- * and its version that half is the version, the same for nearly all.
+ * g_int64_hash() uses only the low 32 bits of a key. In keys that combine an
+ * adapter and its version, these bits hold the version, which is the same in
+ * nearly all keys: g_int64_hash() would map nearly all keys to one bucket.
  */
 #ifndef FG_KEY_H
 #define FG_KEY_H
--- a/lib/base/fg_rand.h
+++ b/lib/base/fg_rand.h
@@ -1,8 +1,8 @@
 /*
- * fg_rand - a small seeded generator (xorshift64*) and hashing.
+ * fg_rand - seeded random numbers (xorshift64*) and hashes (XXH64).
  *
- * Decision modules take their randomness from a generator handed in, so that
- * one seed gives one run.
+ * The caller of a decision module passes the generator, so that equal seeds
+ * reproduce equal runs. Not for cryptography.
  */
 #ifndef FG_RAND_H
 #define FG_RAND_H
@@ -14,25 +14,27 @@
 	uint64_t state; /* never 0 after fg_rand_seed() */
 };
 
-/* Seeds; every seed is allowed. */
+/* Initializes the generator; every seed is valid. */
 void fg_rand_seed(struct fg_rand *r, uint64_t seed);
 
-/* Next 64 bits. */
+/* Returns the next 64 random bits. */
 uint64_t fg_rand_next(struct fg_rand *r);
 
-/* Uniform in [0, bound); bound must be > 0. */
+/* Returns a uniformly distributed number in [0, bound); bound must be > 0. */
 uint64_t fg_rand_below(struct fg_rand *r, uint64_t bound);
 
-/* Uniform in [0, 1). */
+/* Returns a uniformly distributed number in [0, 1). */
 double fg_rand_unit(struct fg_rand *r);
 
-/* 64-bit hash of bytes; stable between releases, used in stored ids. */
+/* Returns a 64-bit hash of the bytes. Stored ids contain this hash: the
+ * function must not change between releases. */
 uint64_t fg_hash_bytes(const void *data, size_t len_bytes);
 
-/* fg_hash_bytes() of a NUL-terminated string; 0 is never returned. */
+/* Returns fg_hash_bytes() of a string without its NUL, and 1 in place of 0. */
 uint64_t fg_hash_str(const char *s);
 
-/* Mixes two hashes; the score of rendezvous hashing. */
+/* Combines two hashes into one; the order of the arguments matters. Serves as
+ * the score in rendezvous hashing. */
 uint64_t fg_hash_mix(uint64_t a, uint64_t b);
 
 #endif
--- a/lib/base/fg_version.h
+++ b/lib/base/fg_version.h
@@ -1,4 +1,4 @@
-/* fg_version - version of the release, printed by --version. */
+/* fg_version - the release version, printed by --version. */
 #ifndef FG_VERSION_H
 #define FG_VERSION_H
 
--- a/tests/unit/test_base.c
+++ b/tests/unit/test_base.c
@@ -1,4 +1,5 @@
-/* Unit tests of lib/base: names of outcomes and the seeded generator. */
+/* Unit tests of lib/base: names of classes and reasons, random numbers,
+ * hashes. */
 #include <glib.h>
 
 #include "base/fg_outcome.h"
@@ -11,7 +12,7 @@
 	g_assert_cmpint(fg_class_parse("nonsense"), ==, -1);
 }
 
-static void test_reasons_complete(void)
+static void test_reasons_are_complete(void)
 {
 	for (int r = 0; r < FG_R_COUNT; r++) {
 		g_assert_nonnull(fg_reason_code(r));
@@ -22,7 +23,7 @@
 	g_assert_cmpuint(fg_http_status(FG_UNKNOWN, FG_R_NONE), ==, 504);
 }
 
-static void test_rand_repeats(void)
+static void test_rand_is_reproducible(void)
 {
 	struct fg_rand a, b;
 
@@ -38,9 +39,10 @@
 	}
 }
 
-static void test_hash_stable(void)
+static void test_hash_is_stable(void)
 {
-	/* Stored ids depend on these; a change would orphan rows. */
+	/* Stored ids contain these hashes: after a change of the functions
+	 * existing rows would not be found. */
 	g_assert_cmphex(fg_hash_str("owner"), ==, fg_hash_bytes("owner", 5));
 	g_assert_cmphex(fg_hash_mix(1, 2), !=, fg_hash_mix(2, 1));
 }
@@ -49,8 +51,8 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/base/class_names", test_class_names);
-	g_test_add_func("/base/reasons_complete", test_reasons_complete);
-	g_test_add_func("/base/rand_repeats", test_rand_repeats);
-	g_test_add_func("/base/hash_stable", test_hash_stable);
+	g_test_add_func("/base/reasons_complete", test_reasons_are_complete);
+	g_test_add_func("/base/rand_repeats", test_rand_is_reproducible);
+	g_test_add_func("/base/hash_stable", test_hash_is_stable);
 	return g_test_run();
 }
