--- a/lib/log/fg_log.c
+++ b/lib/log/fg_log.c
@@ -1,11 +1,10 @@
 /*
- * Lines of key=value fields through log4c: one category, one appender, one
- * layout that puts the time in front.
+ * Log lines through log4c: one category, one appender, and one layout that
+ * puts the time first.
  *
- * log4c_init() is not called: it would read rc files from the working
- * directory and the home directory. log4c's own tables are not safe for use
- * by several threads, so a mutex is held around every call; it is a leaf in
- * the lock order.
+ * log4c_init() is not called, because it would read rc files from the working
+ * directory and the home directory. log4c's tables are not thread-safe: a
+ * mutex protects every call. No other lock is taken while the mutex is held.
  */
 #include "log/fg_log.h"
 
@@ -25,16 +24,16 @@
 #include "base/fg_clock.h"
 
 #define CATEGORY "fulmargauge"
-#define VALUE_MAX_BYTES 1024 /* longer values are cut */
+#define VALUE_MAX_BYTES 1024 /* longer values are truncated */
 #define TIME_BYTES 40
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static log4c_category_t *category; /* NULL until opened */
-static GString *line;		   /* of the layout, under the lock */
-static char *self;
+static GString *line_buf;	   /* formatted line; NULL while closed */
+static char *self;		   /* value of who=; may be NULL */
 static int enabled; /* highest level written; read without the lock */
 
-/* ---- Bounds; all under the lock ---- */
+/* ---- Rate limits; all protected by the lock ---- */
 
 #define KINDS_MAX 24
 #define KIND_BYTES 48
@@ -44,11 +43,11 @@
 	uint32_t lines;
 };
 
-static struct fg_log_rate_limits bounds; /* lines_per_s 0: not bounded */
+static struct fg_log_rate_limits limits; /* lines_per_s 0: no limits */
 static int output = STDERR_FILENO;
-static int64_t second;	 /* to which the counts belong */
-static uint32_t lines;	 /* written in it */
-static uint32_t routine; /* ... of these */
+static int64_t current_s;  /* current second of the monotonic clock */
+static uint32_t n_lines;   /* from fg_log() in this second */
+static uint32_t n_routine; /* from fg_log_routine() in this second */
 static struct dropped dropped[KINDS_MAX];
 static size_t n_dropped;
 
@@ -60,8 +59,9 @@
 	g_snprintf(kind, sizeof(kind), "%s.%s", module, event);
 	for (i = 0; i < n_dropped && strcmp(dropped[i].kind, kind) != 0; i++)
 		;
+	/* The last entry also counts all further kinds. */
 	if (i == KINDS_MAX)
-		i = KINDS_MAX - 1; /* the last one stands for the rest */
+		i = KINDS_MAX - 1;
 	if (i == n_dropped) {
 		g_strlcpy(dropped[i].kind, kind, sizeof(dropped[i].kind));
 		dropped[i].lines = 0;
@@ -91,21 +91,22 @@
 				 const log4c_logging_event_t *event)
 {
 	time_t seconds = event->evt_timestamp.tv_sec;
-	char when[TIME_BYTES];
+	char timestamp[TIME_BYTES];
 	struct tm tm;
 
 	(void)layout;
 	gmtime_r(&seconds, &tm);
-	strftime(when, sizeof(when), "%Y-%m-%dT%H:%M:%S", &tm);
-	g_string_printf(line, "time=%s.%03ldZ %s\n", when,
+	strftime(timestamp, sizeof(timestamp), "%Y-%m-%dT%H:%M:%S", &tm);
+	g_string_printf(line_buf, "time=%s.%03ldZ %s\n", timestamp,
 			(long)(event->evt_timestamp.tv_usec / FG_MS_PER_S),
 			event->evt_msg);
-	return line->str;
+	return line_buf->str;
 }
 
-static bool write_failed;
+static bool write_failed; /* of the last line; protected by the lock */
 
-/* One write for a line, so that lines of several processes do not mix. */
+/* Writes each line with one write(), so that lines of several processes are
+ * not interleaved. */
 static int appender_append(log4c_appender_t *appender,
 			   const log4c_logging_event_t *event)
 {
@@ -117,7 +118,7 @@
 	return n < 0 ? -1 : 0;
 }
 
-static int appender_nothing(log4c_appender_t *appender)
+static int appender_no_op(log4c_appender_t *appender)
 {
 	(void)appender;
 	return 0;
@@ -130,9 +131,9 @@
 
 static const log4c_appender_type_t appender_type = {
 	.name = "fg_stderr",
-	.open = appender_nothing,
+	.open = appender_no_op,
 	.append = appender_append,
-	.close = appender_nothing,
+	.close = appender_no_op,
 };
 
 static void open_category(void)
@@ -155,8 +156,8 @@
 void fg_log_open(const char *who, enum fg_log_level level)
 {
 	pthread_mutex_lock(&lock);
-	if (line == NULL)
-		line = g_string_new(NULL);
+	if (line_buf == NULL)
+		line_buf = g_string_new(NULL);
 	if (category == NULL)
 		open_category();
 	log4c_category_set_priority(category, priority_of(level));
@@ -172,9 +173,9 @@
 	__atomic_store_n(&enabled, 0, __ATOMIC_RELEASE);
 	g_free(self);
 	self = NULL;
-	if (line != NULL)
-		g_string_free(line, TRUE);
-	line = NULL;
+	if (line_buf != NULL)
+		g_string_free(line_buf, TRUE);
+	line_buf = NULL;
 	pthread_mutex_unlock(&lock);
 }
 
@@ -196,7 +197,7 @@
 	return value[0] != '\0';
 }
 
-static void put_quoted(GString *out, const char *value)
+static void append_quoted(GString *out, const char *value)
 {
 	size_t len = strnlen(value, VALUE_MAX_BYTES + 1);
 	bool utf8 = g_utf8_validate(value, (gssize)len, NULL);
@@ -217,7 +218,7 @@
 	g_string_append(out, len > VALUE_MAX_BYTES ? "...\"" : "\"");
 }
 
-static void put_field(GString *out, const char *name, const char *value)
+static void append_field(GString *out, const char *name, const char *value)
 {
 	if (value == NULL)
 		return;
@@ -227,7 +228,7 @@
 	if (is_plain(value) && strlen(value) <= VALUE_MAX_BYTES)
 		g_string_append(out, value);
 	else
-		put_quoted(out, value);
+		append_quoted(out, value);
 }
 
 static char *format_fields(enum fg_log_level level, const char *module,
@@ -236,12 +237,12 @@
 	GString *out = g_string_new(NULL);
 	const char *name;
 
-	put_field(out, "level", fg_log_level_name(level));
-	put_field(out, "module", module);
-	put_field(out, "event", event);
-	put_field(out, "who", who);
+	append_field(out, "level", fg_log_level_name(level));
+	append_field(out, "module", module);
+	append_field(out, "event", event);
+	append_field(out, "who", who);
 	while ((name = va_arg(ap, const char *)) != NULL)
-		put_field(out, name, va_arg(ap, const char *));
+		append_field(out, name, va_arg(ap, const char *));
 	return g_string_free(out, FALSE);
 }
 
@@ -257,21 +258,23 @@
 	return text;
 }
 
-/* Writes the counts of dropped lines when a new second begins. */
-static void begin_second(void)
+/* In a new second, resets the counts and logs how many lines were dropped. If
+ * that line cannot be written either, the numbers are kept for the next second.
+ */
+static void start_new_second(void)
 {
 	GString *text;
 	int64_t now = fg_clock_now() / FG_MS_PER_S;
 
-	if (now == second)
+	if (now == current_s)
 		return;
-	second = now;
-	lines = 0;
-	routine = 0;
+	current_s = now;
+	n_lines = 0;
+	n_routine = 0;
 	if (n_dropped == 0)
 		return;
 	text = g_string_new("level=warn module=log event=dropped");
-	put_field(text, "who", self);
+	append_field(text, "who", self);
 	for (size_t i = 0; i < n_dropped; i++)
 		g_string_append_printf(text, " %s=%u", dropped[i].kind,
 				       dropped[i].lines);
@@ -281,20 +284,20 @@
 	g_string_free(text, TRUE);
 }
 
-/* May one more line be written in this second? */
-static bool within_bounds(bool is_routine)
+/* Counts one more line and returns true if the limits allow it. */
+static bool allow_line(bool is_routine)
 {
-	if (bounds.lines_per_s == 0)
+	if (limits.lines_per_s == 0)
 		return true;
-	begin_second();
-	if (is_routine && routine >= bounds.routine_per_s)
+	start_new_second();
+	if (is_routine && n_routine >= limits.routine_per_s)
 		return false;
-	if (!is_routine && lines >= bounds.lines_per_s)
+	if (!is_routine && n_lines >= limits.lines_per_s)
 		return false;
 	if (is_routine)
-		routine++;
+		n_routine++;
 	else
-		lines++;
+		n_lines++;
 	return true;
 }
 
@@ -306,15 +309,15 @@
 	if (!fg_log_enabled(level))
 		return;
 	pthread_mutex_lock(&lock);
-	if (line == NULL) {
+	if (line_buf == NULL) {
 		pthread_mutex_unlock(&lock);
 		return;
 	}
-	if (within_bounds(is_routine)) {
+	if (allow_line(is_routine)) {
 		text = format_fields(level, module, event, self, ap);
 		log4c_category_log(category, priority_of(level), "%s", text);
 		g_free(text);
-		if (write_failed && bounds.lines_per_s > 0)
+		if (write_failed && limits.lines_per_s > 0)
 			count_dropped(module, event);
 	} else {
 		count_dropped(module, event);
@@ -340,15 +343,16 @@
 	va_end(ap);
 }
 
-void fg_log_limit_rate(const struct fg_log_rate_limits *wanted)
+void fg_log_limit_rate(const struct fg_log_rate_limits *new_limits)
 {
 	int flags;
 
 	pthread_mutex_lock(&lock);
-	bounds = *wanted;
+	limits = *new_limits;
 	output = STDOUT_FILENO;
 	flags = fcntl(output, F_GETFL);
-	/* Where this fails, a full pipe blocks; lines stay bounded. */
+	/* If this fails, writes to a full pipe block; the limits still apply.
+	 */
 	if (flags >= 0)
 		(void)fcntl(output, F_SETFL, flags | O_NONBLOCK);
 	pthread_mutex_unlock(&lock);
--- a/lib/log/fg_log_level.c
+++ b/lib/log/fg_log_level.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-static const char *const names[] = {
+static const char *const level_names[] = {
 	[FG_LOG_ERROR] = "error",
 	[FG_LOG_WARN] = "warn",
 	[FG_LOG_INFO] = "info",
@@ -14,13 +14,13 @@
 {
 	if (level < FG_LOG_ERROR || level > FG_LOG_DEBUG)
 		return "invalid";
-	return names[level];
+	return level_names[level];
 }
 
 bool fg_log_level_parse(const char *name, enum fg_log_level *level)
 {
 	for (int i = FG_LOG_ERROR; i <= FG_LOG_DEBUG; i++) {
-		if (strcmp(names[i], name) == 0) {
+		if (strcmp(level_names[i], name) == 0) {
 			*level = (enum fg_log_level)i;
 			return true;
 		}
--- a/lib/metrics/fg_metrics.c
+++ b/lib/metrics/fg_metrics.c
@@ -1,6 +1,6 @@
 /*
- * The registry of instruments. Its mutex guards the list alone, never the
- * values; it is a leaf in the lock order.
+ * The registry of instruments. Its mutex protects the list, not the values. No
+ * other lock is taken while the mutex is held.
  */
 #include "metrics/fg_metrics.h"
 
@@ -40,7 +40,7 @@
 
 struct fg_metrics {
 	pthread_mutex_t lock;
-	GPtrArray *list; /* of struct instrument, those of a name together */
+	GPtrArray *list; /* of struct instrument, grouped by name */
 };
 
 /* ---- Registry ---- */
@@ -73,7 +73,7 @@
 	g_free(m);
 }
 
-static bool name_ok(const char *name)
+static bool is_valid_name(const char *name)
 {
 	for (const char *s = name; *s != '\0'; s++)
 		if (!g_ascii_islower(*s) && !g_ascii_isdigit(*s) && *s != '_')
@@ -81,7 +81,8 @@
 	return g_ascii_islower(name[0]);
 }
 
-/* A histogram takes a few kB, the others a few words. */
+/* A histogram takes a few kB, a counter or gauge a few words: only histograms
+ * are allocated with the full union. */
 static struct instrument *instrument_new(enum kind kind, const char *name,
 					 const char *labels, const char *help)
 {
@@ -90,7 +91,7 @@
 						  sizeof(uint64_t);
 	struct instrument *in = g_malloc0(size);
 
-	g_assert(name_ok(name));
+	g_assert(is_valid_name(name));
 	in->kind = kind;
 	in->name = g_strdup(name);
 	in->labels = g_strdup(labels);
@@ -98,13 +99,14 @@
 	return in;
 }
 
-/* Finds or makes an instrument, next to the others of its name. */
-static struct instrument *get(struct fg_metrics *m, enum kind kind,
-			      const char *name, const char *labels,
-			      const char *help)
+/* Finds or creates an instrument. The Prometheus format requires that all
+ * instruments of one name stand together. */
+static struct instrument *find_or_create(struct fg_metrics *m, enum kind kind,
+					 const char *name, const char *labels,
+					 const char *help)
 {
 	struct instrument *in = NULL;
-	guint at = 0;
+	guint insert_at = 0;
 
 	pthread_mutex_lock(&m->lock);
 	for (guint i = 0; i < m->list->len && in == NULL; i++) {
@@ -113,13 +115,14 @@
 		if (strcmp(other->name, name) != 0)
 			continue;
 		g_assert(other->kind == kind);
-		at = i + 1;
+		insert_at = i + 1;
 		if (g_strcmp0(other->labels, labels) == 0)
 			in = other;
 	}
 	if (in == NULL) {
 		in = instrument_new(kind, name, labels, help);
-		g_ptr_array_insert(m->list, at > 0 ? (gint)at : -1, in);
+		g_ptr_array_insert(m->list,
+				   insert_at > 0 ? (gint)insert_at : -1, in);
 	}
 	pthread_mutex_unlock(&m->lock);
 	return in;
@@ -128,19 +131,19 @@
 struct fg_counter *fg_metrics_counter(struct fg_metrics *m, const char *name,
 				      const char *labels, const char *help)
 {
-	return &get(m, KIND_COUNTER, name, labels, help)->u.counter;
+	return &find_or_create(m, KIND_COUNTER, name, labels, help)->u.counter;
 }
 
 struct fg_gauge *fg_metrics_gauge(struct fg_metrics *m, const char *name,
 				  const char *labels, const char *help)
 {
-	return &get(m, KIND_GAUGE, name, labels, help)->u.gauge;
+	return &find_or_create(m, KIND_GAUGE, name, labels, help)->u.gauge;
 }
 
 struct fg_hist *fg_metrics_hist(struct fg_metrics *m, const char *name,
 				const char *labels, const char *help)
 {
-	return &get(m, KIND_HIST, name, labels, help)->u.hist;
+	return &find_or_create(m, KIND_HIST, name, labels, help)->u.hist;
 }
 
 /* ---- Values ---- */
@@ -179,7 +182,7 @@
 	return kind == KIND_GAUGE ? "gauge" : "histogram";
 }
 
-static void render_one(const struct instrument *in, GString *out)
+static void render_instrument(const struct instrument *in, GString *out)
 {
 	if (in->kind == KIND_HIST) {
 		fg_hist_render(&in->u.hist, in->name, in->labels, out);
@@ -199,18 +202,18 @@
 char *fg_metrics_render(struct fg_metrics *m)
 {
 	GString *out = g_string_new(NULL);
-	const char *last = "";
+	const char *last_name = "";
 
 	pthread_mutex_lock(&m->lock);
 	for (guint i = 0; i < m->list->len; i++) {
 		const struct instrument *in = g_ptr_array_index(m->list, i);
 
-		if (strcmp(in->name, last) != 0)
+		if (strcmp(in->name, last_name) != 0)
 			g_string_append_printf(
 				out, "# HELP %s %s\n# TYPE %s %s\n", in->name,
 				in->help, in->name, type_name(in->kind));
-		last = in->name;
-		render_one(in, out);
+		last_name = in->name;
+		render_instrument(in, out);
 	}
 	pthread_mutex_unlock(&m->lock);
 	return g_string_free(out, FALSE);
--- a/tests/unit/test_log_metrics.c
+++ b/tests/unit/test_log_metrics.c
@@ -13,7 +13,7 @@
 
 /* ---- Log ---- */
 
-static void formatted(const char *value, const char *want)
+static void assert_formatted(const char *value, const char *want)
 {
 	g_autofree char *line =
 		fg_log_format(FG_LOG_WARN, "owner", "gained", "ep", value,
@@ -29,17 +29,17 @@
 	g_autofree char *large = g_strnfill(3000, 'l');
 	g_autofree char *cut = g_strdup_printf("\"%.1024s...\"", large);
 
-	formatted("engine-1", "engine-1");
-	formatted("127.0.0.1:80", "127.0.0.1:80");
-	formatted("", "\"\"");
-	formatted("a b", "\"a b\"");
-	formatted("a=b", "\"a=b\"");
-	formatted("a\"b\\c", "\"a\\\"b\\\\c\"");
-	formatted("a\nlevel=error", "\"a\\nlevel=error\"");
-	formatted("a\x01\x7f", "\"a\\x01\\x7f\"");
-	formatted("men\xc3\xba", "\"men\xc3\xba\"");
-	formatted("bad\xff", "\"bad\\xff\"");
-	formatted(large, cut);
+	assert_formatted("engine-1", "engine-1");
+	assert_formatted("127.0.0.1:80", "127.0.0.1:80");
+	assert_formatted("", "\"\"");
+	assert_formatted("a b", "\"a b\"");
+	assert_formatted("a=b", "\"a=b\"");
+	assert_formatted("a\"b\\c", "\"a\\\"b\\\\c\"");
+	assert_formatted("a\nlevel=error", "\"a\\nlevel=error\"");
+	assert_formatted("a\x01\x7f", "\"a\\x01\\x7f\"");
+	assert_formatted("men\xc3\xba", "\"men\xc3\xba\"");
+	assert_formatted("bad\xff", "\"bad\\xff\"");
+	assert_formatted(large, cut);
 }
 
 static void test_levels(void)
@@ -61,8 +61,9 @@
 	return NULL;
 }
 
-/* Runs in a child process, whose standard error is read by the parent. */
-static void test_written(void)
+/* The lines are written in a child process; the parent checks its standard
+ * error. */
+static void test_written_lines(void)
 {
 	g_autofree char *large = g_strnfill(1000, 'z');
 	pthread_t threads[4];
@@ -94,13 +95,13 @@
 	g_test_trap_assert_stderr_unmatched("*from=ttime*");
 }
 
-/* ---- Bounds ---- */
+/* ---- Rate limits ---- */
 
-#define BOUND 10
-#define ROUTINE_BOUND 5
-#define MANY 2000
+#define LINES_PER_S 10
+#define ROUTINE_PER_S 5
+#define N_LINES 2000
 
-static uint32_t count_of(const char *text, const char *word)
+static uint32_t count_matches(const char *text, const char *word)
 {
 	uint32_t n = 0;
 
@@ -111,21 +112,22 @@
 	return n;
 }
 
-/* In the child standard output is a pipe that is not read before the end, so
- * that a writer that blocks would never come back. */
-static void write_bounded(int out)
+/* Runs in the child process. Its standard output is a pipe that is read only
+ * after all lines are written: a blocking write to the full pipe would hang
+ * the test. */
+static void log_over_limits(int out)
 {
-	struct fg_log_rate_limits bounds = { BOUND, ROUTINE_BOUND };
+	struct fg_log_rate_limits limits = { LINES_PER_S, ROUTINE_PER_S };
 
 	dup2(out, STDOUT_FILENO);
 	fg_log_open("me", FG_LOG_INFO);
-	fg_log_limit_rate(&bounds);
-	/* At the start of a second, so that all lines fall into one. */
+	fg_log_limit_rate(&limits);
+	/* Start early in a second, so that all lines fall into the same one. */
 	while (fg_clock_now() % FG_MS_PER_S > 100)
 		g_usleep(10000);
-	for (int i = 0; i < MANY; i++)
+	for (int i = 0; i < N_LINES; i++)
 		fg_log_routine("test", "usual", NULL);
-	for (int i = 0; i < MANY; i++)
+	for (int i = 0; i < N_LINES; i++)
 		fg_log(FG_LOG_WARN, "test", "odd", NULL);
 	while (fg_clock_now() % FG_MS_PER_S < 900)
 		g_usleep(10000);
@@ -134,19 +136,20 @@
 	fg_log_close();
 }
 
-static void test_bounded(void)
+static void test_rate_limits(void)
 {
 	char text[65536] = "";
 	int fds[2];
 
 	if (g_test_subprocess()) {
 		g_assert_cmpint(pipe(fds), ==, 0);
-		write_bounded(fds[1]);
+		log_over_limits(fds[1]);
 		g_assert_cmpint(read(fds[0], text, sizeof(text) - 1), >, 0);
-		g_assert_cmpuint(count_of(text, "event=usual"), ==,
-				 ROUTINE_BOUND);
-		g_assert_cmpuint(count_of(text, "event=odd"), ==, BOUND);
-		g_assert_cmpuint(count_of(text, "event=later"), ==, 1);
+		g_assert_cmpuint(count_matches(text, "event=usual"), ==,
+				 ROUTINE_PER_S);
+		g_assert_cmpuint(count_matches(text, "event=odd"), ==,
+				 LINES_PER_S);
+		g_assert_cmpuint(count_matches(text, "event=later"), ==, 1);
 		g_assert_nonnull(strstr(text, "event=dropped who=me "
 					      "test.usual=1995 test.odd=1990"));
 		return;
@@ -155,17 +158,17 @@
 	g_test_trap_assert_passed();
 }
 
-static void test_full_pipe(void)
+static void test_full_pipe_does_not_block(void)
 {
-	struct fg_log_rate_limits bounds = { 1000000, 1000000 };
+	struct fg_log_rate_limits limits = { 1000000, 1000000 };
 	int fds[2];
 
 	if (g_test_subprocess()) {
 		g_assert_cmpint(pipe(fds), ==, 0);
 		dup2(fds[1], STDOUT_FILENO);
 		fg_log_open("me", FG_LOG_INFO);
-		fg_log_limit_rate(&bounds);
-		for (int i = 0; i < 20 * MANY; i++)
+		fg_log_limit_rate(&limits);
+		for (int i = 0; i < 20 * N_LINES; i++)
 			fg_log(FG_LOG_WARN, "test", "odd", NULL);
 		fg_log_close();
 		return;
@@ -222,7 +225,7 @@
 	fg_metrics_free(m);
 }
 
-static int by_value(const void *a, const void *b)
+static int compare_values(const void *a, const void *b)
 {
 	uint64_t x = *(const uint64_t *)a;
 	uint64_t y = *(const uint64_t *)b;
@@ -247,7 +250,7 @@
 			fg_hist_add(h, values[i]);
 		}
 		qsort(values, G_N_ELEMENTS(values), sizeof(values[0]),
-		      by_value);
+		      compare_values);
 		for (size_t k = 0; k < G_N_ELEMENTS(shares); k++) {
 			size_t rank =
 				(size_t)(shares[k] * G_N_ELEMENTS(values));
@@ -260,7 +263,7 @@
 	}
 }
 
-static void test_bounds(void)
+static void test_hist_range(void)
 {
 	struct fg_metrics *m = fg_metrics_new();
 	struct fg_hist *h = fg_metrics_hist(m, "h", NULL, "");
@@ -276,14 +279,14 @@
 	fg_metrics_free(m);
 }
 
-struct shared {
+struct shared_metrics {
 	struct fg_counter *c;
 	struct fg_hist *h;
 };
 
-static void *count_up(void *arg)
+static void *update_metrics(void *arg)
 {
-	struct shared *s = arg;
+	struct shared_metrics *s = arg;
 
 	for (uint64_t i = 0; i < 50000; i++) {
 		fg_counter_add(s->c, 1);
@@ -292,15 +295,15 @@
 	return NULL;
 }
 
-static void test_threads(void)
+static void test_concurrent_updates(void)
 {
 	struct fg_metrics *m = fg_metrics_new();
-	struct shared s = { fg_metrics_counter(m, "c", NULL, ""),
-			    fg_metrics_hist(m, "h", NULL, "") };
+	struct shared_metrics s = { fg_metrics_counter(m, "c", NULL, ""),
+				    fg_metrics_hist(m, "h", NULL, "") };
 	pthread_t threads[4];
 
 	for (int i = 0; i < 4; i++)
-		pthread_create(&threads[i], NULL, count_up, &s);
+		pthread_create(&threads[i], NULL, update_metrics, &s);
 	for (int i = 0; i < 100; i++)
 		g_free(fg_metrics_render(m));
 	for (int i = 0; i < 4; i++)
@@ -315,12 +318,12 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/log/fields", test_fields);
 	g_test_add_func("/log/levels", test_levels);
-	g_test_add_func("/log/written", test_written);
-	g_test_add_func("/log/bounded", test_bounded);
-	g_test_add_func("/log/full_pipe", test_full_pipe);
+	g_test_add_func("/log/written", test_written_lines);
+	g_test_add_func("/log/bounded", test_rate_limits);
+	g_test_add_func("/log/full_pipe", test_full_pipe_does_not_block);
 	g_test_add_func("/metrics/render", test_render);
 	g_test_add_func("/metrics/quantiles", test_quantiles);
-	g_test_add_func("/metrics/bounds", test_bounds);
-	g_test_add_func("/metrics/threads", test_threads);
+	g_test_add_func("/metrics/bounds", test_hist_range);
+	g_test_add_func("/metrics/threads", test_concurrent_updates);
 	return g_test_run();
 }
