--- a/lib/history/fg_history.c
+++ b/lib/history/fg_history.c
@@ -12,7 +12,7 @@
 struct fg_history {
 	int fd;
 	char *who;
-	pthread_mutex_t lock; /* orders the clock read with the write */
+	pthread_mutex_t lock; /* keeps the lines in the order of their times */
 	uint64_t failures;
 };
 
@@ -54,12 +54,12 @@
 static void write_line(struct fg_history *h, const json_t *line)
 {
 	char *text = json_dumps(line, JSON_COMPACT);
-	char *whole = g_strconcat(text != NULL ? text : "", "\n", NULL);
-	ssize_t len = strlen(whole);
+	char *terminated = g_strconcat(text != NULL ? text : "", "\n", NULL);
+	ssize_t len = strlen(terminated);
 
-	if (text == NULL || write(h->fd, whole, len) != len)
+	if (text == NULL || write(h->fd, terminated, len) != len)
 		h->failures++;
-	g_free(whole);
+	g_free(terminated);
 	free(text);
 }
 
--- a/lib/history/fg_history.h
+++ b/lib/history/fg_history.h
@@ -1,11 +1,11 @@
 /*
- * fg_history - a history of what a process did, for checking runs.
+ * fg_history - the event history of a process, the input of fg_check.
  *
- * One JSON line per event, {"t":MS,"who":NAME,"ev":EVENT,...}, with the
+ * Each event is one JSON line, {"t":MS,"who":NAME,"ev":EVENT,...}, with the
  * fields of docs/PROTOCOL.md section 6. Each line is one write(2) to a file
- * opened for appending, so that several processes may share a file and a
- * killed process leaves at most its last line incomplete. Thread safe; the
- * order of lines is the order of their times within one history.
+ * opened for appending: several processes may share a file, and a killed
+ * process leaves at most its last line incomplete. Thread-safe. The lines of
+ * one history are in the order of their times.
  */
 #ifndef FG_HISTORY_H
 #define FG_HISTORY_H
@@ -23,30 +23,30 @@
 
 struct fg_history;
 
-/* Opens path for appending and writes the event `open`, by which a checker
- * sees that this process kept a history; who names the process. NULL with
- * *error set when that fails. */
+/* Opens `path` for appending and writes the event `open`, which shows that this
+ * process kept a history. `who` is the name of the process; it is copied.
+ * Returns NULL and sets *error if the file cannot be opened. */
 struct fg_history *fg_history_open(const char *path, const char *who,
 				   GError **error);
 
-/* Closes; NULL is allowed. */
+/* Closes the file and frees h; NULL is allowed. */
 void fg_history_close(struct fg_history *h);
 
 /*
- * Appends event ev with the fields of the JSON object `fields`, which may be
- * NULL; takes over the reference. A NULL h is allowed and appends nothing, so
- * that callers need no check of whether a history is kept.
+ * Appends event `ev` with the members of the JSON object `fields`, which may be
+ * NULL. Takes ownership of the reference to `fields`. If h is NULL, nothing is
+ * appended: callers need not check whether a history is kept.
  */
 void fg_history_add(struct fg_history *h, const char *ev, json_t *fields);
 
-/* The same, with fields by the format of json_pack(), such as
- * fg_history_log(h, "release", "{s:I}", "grant", id). A format that does not
- * fit its arguments is a fault of the program and ends it; optional strings
- * are "s?". */
+/* Does the same with fields in the format of json_pack(), such as
+ * fg_history_log(h, "release", "{s:I}", "grant", id). Optional strings use
+ * "s?". A format that does not match its arguments aborts the program. */
 void fg_history_log(struct fg_history *h, const char *ev, const char *format,
 		    ...);
 
-/* Lines that could not be written whole since the opening. */
+/* Returns how many lines were lost or written incompletely since the file was
+ * opened. */
 uint64_t fg_history_failures(struct fg_history *h);
 
 #endif
