--- a/lib/settings/fg_settings.c
+++ b/lib/settings/fg_settings.c
@@ -1,7 +1,7 @@
 /*
- * Loading and checking of the settings file. libcyaml reads every scalar as
- * a string, because its own number parser takes "5s" for 5; the checks here
- * see the text as written.
+ * Loads and validates the settings file. The schema declares every scalar as a
+ * string, because the number parser of libcyaml accepts "5s" as 5. This file
+ * parses the numbers.
  */
 #include "settings/fg_settings.h"
 
@@ -20,22 +20,22 @@
 	return g_quark_from_static_string("fg-settings-error");
 }
 
-/* The file as libcyaml fills it: one text per key, NULL when absent. */
-struct raw {
+/* The parsed file: one string per key, NULL if the key is absent. */
+struct raw_settings {
 	char *text[FG_SECTION_COUNT][FG_SECTION_KEYS_MAX];
 };
 
-/* A schema built from the key tables. */
+/* The libcyaml schema, built from the key tables. */
 struct schema {
 	cyaml_schema_field_t fields[FG_SECTION_COUNT]
 				   [FG_SECTION_KEYS_MAX + FG_SECTION_COUNT + 1];
 	cyaml_schema_value_t top;
 };
 
-/* What a check needs to name the fault. */
-struct check {
+/* Collects the faults found in a file. */
+struct validation {
 	const char *path;
-	const char *yaml;
+	const char *yaml; /* text of the file, to find line numbers */
 	GString *faults;
 };
 
@@ -52,7 +52,7 @@
 	return v;
 }
 
-static size_t schema_keys(struct schema *sc, int section)
+static size_t schema_add_keys(struct schema *sc, int section)
 {
 	const struct fg_section *s = &fg_sections[section];
 
@@ -66,50 +66,53 @@
 	return s->n_keys;
 }
 
-static void schema_mapping(struct schema *sc, int section,
-			   cyaml_schema_field_t *f)
+static void schema_add_mapping(struct schema *sc, int section,
+			       cyaml_schema_field_t *f)
 {
 	f->key = fg_sections[section].name;
-	f->data_offset = (uint32_t)offsetof(struct raw, text[section]);
+	f->data_offset = (uint32_t)offsetof(struct raw_settings, text[section]);
 	f->value.type = CYAML_MAPPING;
 	f->value.flags = CYAML_FLAG_OPTIONAL;
 	f->value.data_size = sizeof(char *[FG_SECTION_KEYS_MAX]);
 	f->value.mapping.fields = sc->fields[section];
 }
 
-/* Zeroed fields end each table, since their key is NULL. */
+/* A field whose key is NULL ends a table: the memset() terminates all tables.
+ */
 static void schema_build(struct schema *sc)
 {
 	size_t n;
 
 	memset(sc, 0, sizeof(*sc));
-	n = schema_keys(sc, FG_SECTION_TOP);
+	n = schema_add_keys(sc, FG_SECTION_TOP);
 	for (int i = FG_SECTION_TOP + 1; i < FG_SECTION_COUNT; i++) {
-		schema_keys(sc, i);
-		schema_mapping(sc, i, &sc->fields[FG_SECTION_TOP][n++]);
+		schema_add_keys(sc, i);
+		schema_add_mapping(sc, i, &sc->fields[FG_SECTION_TOP][n++]);
 	}
 	sc->top.type = CYAML_MAPPING;
 	sc->top.flags = CYAML_FLAG_POINTER;
-	sc->top.data_size = sizeof(struct raw);
+	sc->top.data_size = sizeof(struct raw_settings);
 	sc->top.mapping.fields = sc->fields[FG_SECTION_TOP];
 }
 
 /* ---- Faults ---- */
 
-/* Tells whether line holds the key, as a key of an inner mapping or not. */
-static bool line_has_key(const char *line, const char *key, bool inner)
+/* Returns true if the line starts with the key. An indented line belongs to an
+ * inner mapping. */
+static bool line_has_key(const char *line, const char *key, bool is_inner)
 {
 	size_t indent = strspn(line, " ");
 	size_t len = strlen(key);
 
-	if ((indent > 0) != inner)
+	if ((indent > 0) != is_inner)
 		return false;
 	line += indent;
 	return strncmp(line, key, len) == 0 &&
 	       line[len + strspn(line + len, " ")] == ':';
 }
 
-/* Line of section.key in the file; 0 when not found (flow style). */
+/* Returns the line number of section.key, or 0 if it is not found, as in YAML
+ * flow style. */
 static unsigned int find_line(const char *yaml, const char *section,
 			      const char *key)
 {
@@ -125,22 +128,22 @@
 	return 0;
 }
 
-static void fault(struct check *c, const char *section, const char *key,
-		  const char *found, const char *allowed)
+static void add_fault(struct validation *v, const char *section,
+		      const char *key, const char *found, const char *allowed)
 {
-	unsigned int line = find_line(c->yaml, section, key);
+	unsigned int line = find_line(v->yaml, section, key);
 
-	g_string_append_printf(c->faults, "%s%s:", c->faults->len ? "\n" : "",
-			       c->path);
+	g_string_append_printf(v->faults, "%s%s:", v->faults->len ? "\n" : "",
+			       v->path);
 	if (line > 0)
-		g_string_append_printf(c->faults, "%u:", line);
-	g_string_append_printf(c->faults, " %s%s%s: ", section ? section : "",
+		g_string_append_printf(v->faults, "%u:", line);
+	g_string_append_printf(v->faults, " %s%s%s: ", section ? section : "",
 			       section ? "." : "", key);
 	if (found != NULL)
-		g_string_append_printf(c->faults, "found \"%s\", ", found);
+		g_string_append_printf(v->faults, "found \"%s\", ", found);
 	else
-		g_string_append(c->faults, "missing, ");
-	g_string_append_printf(c->faults, "allowed: %s", allowed);
+		g_string_append(v->faults, "missing, ");
+	g_string_append_printf(v->faults, "allowed: %s", allowed);
 }
 
 /* ---- Values ---- */
@@ -168,7 +171,7 @@
 	return inet_pton(AF_INET, ip, bin) == 1;
 }
 
-static bool name_ok(const char *text)
+static bool is_valid_name(const char *text)
 {
 	size_t len = strlen(text);
 
@@ -186,16 +189,18 @@
 	return *out || strcmp(text, "false") == 0;
 }
 
-/* Stores text in the member of the key; NULL or what is allowed. */
-static const char *store(struct fg_settings *s, const struct fg_key *k,
-			 const char *text, char *range, size_t range_bytes)
+/* Parses the text into the member of the key. Returns NULL, or a description
+ * of the allowed values if the text is invalid. */
+static const char *parse_value(struct fg_settings *s, const struct fg_key *k,
+			       const char *text, char *range,
+			       size_t range_bytes)
 {
 	void *member = (char *)s + k->offset;
 	guint64 number;
 
 	switch (k->kind) {
 	case FG_KEY_NAME:
-		if (!name_ok(text))
+		if (!is_valid_name(text))
 			return "1 to 63 letters, digits, '-', '_' or '.'";
 		g_strlcpy(member, text, FG_NAME_BYTES);
 		return NULL;
@@ -227,18 +232,19 @@
 	return NULL;
 }
 
-static void store_default(struct fg_settings *s, const struct fg_key *k)
+static void set_default(struct fg_settings *s, const struct fg_key *k)
 {
 	void *member = (char *)s + k->offset;
 
 	if (k->kind == FG_KEY_U32)
-		*(uint32_t *)member = k->fallback;
+		*(uint32_t *)member = k->default_value;
 	else if (k->kind == FG_KEY_LEVEL)
-		*(enum fg_log_level *)member = (enum fg_log_level)k->fallback;
+		*(enum fg_log_level *)member =
+			(enum fg_log_level)k->default_value;
 }
 
-static void take_section(struct fg_settings *s, struct check *c, int section,
-			 char *const *text)
+static void parse_section(struct fg_settings *s, struct validation *v,
+			  int section, char *const *text)
 {
 	const struct fg_section *sec = &fg_sections[section];
 
@@ -247,59 +253,63 @@
 		const char *allowed;
 		char range[64];
 
-		store_default(s, k);
+		set_default(s, k);
 		if (text[i] == NULL) {
 			if (k->required)
-				fault(c, sec->name, k->name, NULL, "a value");
+				add_fault(v, sec->name, k->name, NULL,
+					  "a value");
 			continue;
 		}
-		allowed = store(s, k, text[i], range, sizeof(range));
+		allowed = parse_value(s, k, text[i], range, sizeof(range));
 		if (allowed != NULL)
-			fault(c, sec->name, k->name, text[i], allowed);
+			add_fault(v, sec->name, k->name, text[i], allowed);
 	}
 }
 
-/* ---- Rules that span keys ---- */
+/* ---- Rules across keys ---- */
 
-static void at_least(struct check *c, const char *section, const char *key,
-		     uint32_t value, uint32_t least, const char *why)
+static void check_minimum(struct validation *v, const char *section,
+			  const char *key, uint32_t value, uint32_t minimum,
+			  const char *reason)
 {
 	char found[16];
 	char allowed[96];
 
-	if (value >= least)
+	if (value >= minimum)
 		return;
 	snprintf(found, sizeof(found), "%u", value);
-	snprintf(allowed, sizeof(allowed), "at least %u, %s", least, why);
-	fault(c, section, key, found, allowed);
+	snprintf(allowed, sizeof(allowed), "at least %u, %s", minimum, reason);
+	add_fault(v, section, key, found, allowed);
 }
 
-static void check_spanning(const struct fg_settings *s, struct check *c)
+static void check_rules_across_keys(const struct fg_settings *s,
+				    struct validation *v)
 {
 	const struct fg_timing_settings *t = &s->timing;
 
-	at_least(c, "timing", "lease_ms", t->lease_ms, 3 * t->renew_ms,
-		 "three times renew_ms");
-	/* An instance that nothing confirms must have stopped before others
-	 * count it as gone. */
-	at_least(c, "timing", "lease_ms", t->lease_ms, t->confirm_ms,
-		 "as confirm_ms");
-	at_least(c, "timing", "suspect_ms", t->suspect_ms, 2 * t->ping_ms,
-		 "twice ping_ms");
-	at_least(c, "timing", "confirm_ms", t->confirm_ms, 2 * t->poll_ms,
-		 "twice poll_ms");
-	at_least(c, "limits", "deadline_max_ms", s->limits.deadline_max_ms,
-		 s->limits.deadline_default_ms, "as deadline_default_ms");
+	check_minimum(v, "timing", "lease_ms", t->lease_ms, 3 * t->renew_ms,
+		      "three times renew_ms");
+	/* An instance whose state is not confirmed must have stopped serving
+	 * before its lease expires and others take over. */
+	check_minimum(v, "timing", "lease_ms", t->lease_ms, t->confirm_ms,
+		      "as confirm_ms");
+	check_minimum(v, "timing", "suspect_ms", t->suspect_ms, 2 * t->ping_ms,
+		      "twice ping_ms");
+	check_minimum(v, "timing", "confirm_ms", t->confirm_ms, 2 * t->poll_ms,
+		      "twice poll_ms");
+	check_minimum(v, "limits", "deadline_max_ms", s->limits.deadline_max_ms,
+		      s->limits.deadline_default_ms, "as deadline_default_ms");
 	if (s->http[0] != '\0' && strcmp(s->http, s->rpc) == 0)
-		fault(c, NULL, "rpc", s->rpc, "another address than http");
+		add_fault(v, NULL, "rpc", s->rpc, "another address than http");
 	if (s->control[0] != '\0' && (strcmp(s->control, s->http) == 0 ||
 				      strcmp(s->control, s->rpc) == 0))
-		fault(c, NULL, "control", s->control,
-		      "another address than http and rpc");
+		add_fault(v, NULL, "control", s->control,
+			  "another address than http and rpc");
 }
 
-/* The switches weaken the system, so a stray file must not turn them on. */
-static void check_switches(const struct raw *raw, struct check *c)
+/* The switches disable safety mechanisms. A test file used in production by
+ * mistake must not take effect, hence the environment variable. */
+static void check_switches(const struct raw_settings *raw, struct validation *v)
 {
 	char *const *text = raw->text[FG_SECTION_SWITCHES];
 	const struct fg_section *sec = &fg_sections[FG_SECTION_SWITCHES];
@@ -309,16 +319,16 @@
 		return;
 	for (size_t i = 0; i < sec->n_keys; i++)
 		if (text[i] != NULL)
-			fault(c, sec->name, sec->keys[i].name, text[i],
-			      "nothing, unless the environment has " FG_TEST_ENV
-			      "=1");
+			add_fault(v, sec->name, sec->keys[i].name, text[i],
+				  "nothing, unless the environment "
+				  "has " FG_TEST_ENV "=1");
 }
 
 /* ---- Loading ---- */
 
-/* Joins libcyaml's messages, which name the key and the line. */
-static void collect_log(cyaml_log_t level, void *ctx, const char *fmt,
-			va_list args)
+/* Collects the messages of libcyaml, which contain the key and the line. */
+static void collect_log_message(cyaml_log_t level, void *ctx, const char *fmt,
+				va_list args)
 {
 	GString *out = ctx;
 	g_autofree char *line = g_strdup_vprintf(fmt, args);
@@ -332,8 +342,9 @@
 	g_string_append_printf(out, "%s%s", out->len ? ", " : "", line);
 }
 
-/* Names of all keys, for the message about an unknown one. */
-static char *allowed_keys(void)
+/* Returns the names of all keys except the switches, for the error message
+ * about an unknown key. */
+static char *list_allowed_keys(void)
 {
 	GString *out = g_string_new("allowed keys:");
 
@@ -352,18 +363,21 @@
 	return g_string_free(out, FALSE);
 }
 
-static struct raw *load_raw(const struct schema *sc, const cyaml_config_t *cfg,
-			    const char *path, const char *text, GError **error)
+static struct raw_settings *load_raw(const struct schema *sc,
+				     const cyaml_config_t *cfg,
+				     const char *path, const char *text,
+				     GError **error)
 {
-	struct raw *raw = NULL;
+	struct raw_settings *raw = NULL;
 	cyaml_err_t err;
 
 	err = cyaml_load_data((const uint8_t *)text, strlen(text), cfg,
 			      &sc->top, (cyaml_data_t **)&raw, NULL);
 	if (err != CYAML_OK) {
 		const GString *log = cfg->log_ctx;
-		g_autofree char *keys =
-			err == CYAML_ERR_INVALID_KEY ? allowed_keys() : NULL;
+		g_autofree char *keys = err == CYAML_ERR_INVALID_KEY
+						? list_allowed_keys()
+						: NULL;
 
 		g_set_error(error, FG_SETTINGS_ERROR, FG_SETTINGS_ERR_SYNTAX,
 			    "%s: %s%s%s%s%s", path, cyaml_strerror(err),
@@ -377,18 +391,19 @@
 	return raw;
 }
 
-static struct fg_settings *check_raw(const struct raw *raw, const char *path,
-				     const char *text, GError **error)
+static struct fg_settings *validate_settings(const struct raw_settings *raw,
+					     const char *path, const char *text,
+					     GError **error)
 {
 	struct fg_settings *s = g_new0(struct fg_settings, 1);
 	g_autoptr(GString) faults = g_string_new(NULL);
-	struct check c = { path, text, faults };
+	struct validation v = { path, text, faults };
 
 	for (int i = 0; i < FG_SECTION_COUNT; i++)
-		take_section(s, &c, i, raw->text[i]);
-	check_switches(raw, &c);
+		parse_section(s, &v, i, raw->text[i]);
+	check_switches(raw, &v);
 	if (faults->len == 0)
-		check_spanning(s, &c);
+		check_rules_across_keys(s, &v);
 	if (faults->len == 0)
 		return s;
 	g_set_error_literal(error, FG_SETTINGS_ERROR, FG_SETTINGS_ERR_INVALID,
@@ -404,9 +419,9 @@
 	cyaml_config_t cfg = { 0 };
 	struct schema sc;
 	struct fg_settings *s;
-	struct raw *raw;
+	struct raw_settings *raw;
 
-	cfg.log_fn = collect_log;
+	cfg.log_fn = collect_log_message;
 	cfg.log_ctx = log;
 	cfg.log_level = CYAML_LOG_ERROR;
 	cfg.mem_fn = cyaml_mem;
@@ -415,7 +430,7 @@
 	raw = load_raw(&sc, &cfg, path, text, error);
 	if (raw == NULL)
 		return NULL;
-	s = check_raw(raw, path, text, error);
+	s = validate_settings(raw, path, text, error);
 	cyaml_free(&cfg, &sc.top, raw, 0);
 	return s;
 }
--- a/lib/settings/fg_settings_keys.c
+++ b/lib/settings/fg_settings_keys.c
@@ -9,31 +9,34 @@
 #define KIB 1024u
 #define MIB (1024u * KIB)
 
-#define AT(member) offsetof(struct fg_settings, member)
-#define LIMIT(key, min, max, fallback)                                         \
+#define OFFSET(member) offsetof(struct fg_settings, member)
+#define LIMIT(key, min, max, default_value)                                    \
 	{                                                                      \
-#key, FG_KEY_U32, false, AT(limits.key), min, max, fallback    \
+#key, FG_KEY_U32, false, OFFSET(limits.key), min, max,         \
+			default_value                                          \
 	}
-#define TIMING(key, min, max, fallback)                                        \
+#define TIMING(key, min, max, default_value)                                   \
 	{                                                                      \
-#key, FG_KEY_U32, false, AT(timing.key), min, max, fallback    \
+#key, FG_KEY_U32, false, OFFSET(timing.key), min, max,         \
+			default_value                                          \
 	}
 #define SWITCH(key)                                                            \
 	{                                                                      \
-#key, FG_KEY_BOOL, false, AT(switches.key), 0, 0, 0            \
+#key, FG_KEY_BOOL, false, OFFSET(switches.key), 0, 0, 0        \
 	}
 
 static const struct fg_key top_keys[] = {
-	{ "name", FG_KEY_NAME, true, AT(name), 0, 0, 0 },
-	{ "region", FG_KEY_NAME, true, AT(region), 0, 0, 0 },
-	{ "dc", FG_KEY_NAME, true, AT(dc), 0, 0, 0 },
-	{ "http", FG_KEY_ADDR, true, AT(http), 0, 0, 0 },
-	{ "rpc", FG_KEY_ADDR, true, AT(rpc), 0, 0, 0 },
-	{ "platform", FG_KEY_ADDR, true, AT(platform), 0, 0, 0 },
-	{ "control", FG_KEY_ADDR, false, AT(control), 0, 0, 0 },
-	{ "history", FG_KEY_PATH, false, AT(history), 0, 0, 0 },
-	{ "log_level", FG_KEY_LEVEL, false, AT(log_level), 0, 0, FG_LOG_INFO },
-	{ "workers", FG_KEY_U32, false, AT(workers), 1, 256, 8 },
+	{ "name", FG_KEY_NAME, true, OFFSET(name), 0, 0, 0 },
+	{ "region", FG_KEY_NAME, true, OFFSET(region), 0, 0, 0 },
+	{ "dc", FG_KEY_NAME, true, OFFSET(dc), 0, 0, 0 },
+	{ "http", FG_KEY_ADDR, true, OFFSET(http), 0, 0, 0 },
+	{ "rpc", FG_KEY_ADDR, true, OFFSET(rpc), 0, 0, 0 },
+	{ "platform", FG_KEY_ADDR, true, OFFSET(platform), 0, 0, 0 },
+	{ "control", FG_KEY_ADDR, false, OFFSET(control), 0, 0, 0 },
+	{ "history", FG_KEY_PATH, false, OFFSET(history), 0, 0, 0 },
+	{ "log_level", FG_KEY_LEVEL, false, OFFSET(log_level), 0, 0,
+	  FG_LOG_INFO },
+	{ "workers", FG_KEY_U32, false, OFFSET(workers), 1, 256, 8 },
 };
 
 static const struct fg_key limit_keys[] = {
--- a/lib/settings/fg_settings_keys.h
+++ b/lib/settings/fg_settings_keys.h
@@ -1,8 +1,8 @@
 /*
- * fg_settings_keys - the keys of the settings file, as data.
+ * fg_settings_keys - tables of the keys of the settings file.
  *
- * Each mapping of the file is one table of keys. The tables drive the schema
- * given to libcyaml, the checks, the defaults and the messages.
+ * Each mapping of the file has one table. The schema for libcyaml, the
+ * validation, the defaults and the error messages are derived from the tables.
  */
 #ifndef FG_SETTINGS_KEYS_H
 #define FG_SETTINGS_KEYS_H
@@ -23,9 +23,9 @@
 	enum fg_key_kind kind;
 	bool required;
 	size_t offset; /* in struct fg_settings */
-	uint32_t min;  /* U32 */
+	uint32_t min;  /* U32: smallest and largest value */
 	uint32_t max;
-	uint32_t fallback; /* U32, LEVEL: the default */
+	uint32_t default_value; /* U32 and LEVEL */
 };
 
 enum fg_section_id {
@@ -39,7 +39,7 @@
 #define FG_SECTION_KEYS_MAX 32
 
 struct fg_section {
-	const char *name; /* NULL: the file's outermost mapping */
+	const char *name; /* NULL for the top-level mapping */
 	const struct fg_key *keys;
 	size_t n_keys;
 };
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -5,12 +5,13 @@
 
 #include "settings/fg_settings.h"
 
-#define BASE                                                                   \
+#define VALID_SETTINGS                                                         \
 	"name: a\nregion: r\ndc: d\n"                                          \
 	"http: 127.0.0.1:24100\nrpc: 127.0.0.1:24101\n"                        \
 	"platform: 127.0.0.1:24000\n"
 
-static void refuse(const char *text, const char *first, const char *second)
+static void assert_refused(const char *text, const char *first,
+			   const char *second)
 {
 	g_autoptr(GError) error = NULL;
 	struct fg_settings *s = fg_settings_parse("x.yaml", text, &error);
@@ -24,7 +25,7 @@
 			second);
 }
 
-static void test_examples(void)
+static void test_examples_are_valid(void)
 {
 	const char *paths[] = { "examples/huerta.yaml",
 				"examples/association.yaml" };
@@ -43,7 +44,7 @@
 static void test_defaults(void)
 {
 	g_autoptr(GError) error = NULL;
-	struct fg_settings *s = fg_settings_parse("x", BASE, &error);
+	struct fg_settings *s = fg_settings_parse("x", VALID_SETTINGS, &error);
 
 	g_assert_no_error(error);
 	g_assert_cmpstr(s->http, ==, "127.0.0.1:24100");
@@ -55,38 +56,46 @@
 	fg_settings_free(s);
 }
 
-static void test_refused(void)
+static void test_invalid_settings_are_refused(void)
 {
-	refuse("", "empty", "mapping");
-	refuse("- a\n", "Expecting", "MAPPING");
-	refuse(BASE "foo: 1\n", "foo", "allowed keys");
-	refuse(BASE "limits:\n  foo: 1\n", "foo", "line: 8");
-	refuse(BASE "name: b\n", "already seen", "name");
-	refuse("name: a\n", "region: missing", "platform: missing");
-	refuse(BASE "workers: 0\n", "x.yaml:7: workers: found \"0\"",
-	       "from 1 to 256");
-	refuse(BASE "workers: 5s\n", "found \"5s\"", "whole number");
-	refuse(BASE "workers: -1\n", "found \"-1\"", "whole number");
-	refuse(BASE "limits:\n  body_max_bytes: 99999999999\n",
-	       "x.yaml:8: limits.body_max_bytes", "from 1024 to 16777216");
-	refuse(BASE "limits:\n  body_max_bytes:\n", "body_max_bytes",
-	       "allowed");
-	refuse(BASE "log_level: loud\n", "loud", "error, warn, info or debug");
-	refuse(BASE "control: localhost:80\n", "localhost:80", "IP number");
-	refuse(BASE "control: 127.0.0.1:24101\n", "control", "another address");
-	refuse(BASE "seeds:\n  - 127.0.0.1:1\n", "seeds", "allowed keys");
-	refuse(BASE "timing:\n  lease_ms: 2000\n", "lease_ms",
-	       "three times renew_ms");
-	refuse(BASE "timing:\n  confirm_ms: 9000\n", "lease_ms",
-	       "at least 9000, as confirm_ms");
-	refuse(BASE "limits: &a\n  requests_max: 1\ntiming: *a\n", "x.yaml",
-	       "");
+	assert_refused("", "empty", "mapping");
+	assert_refused("- a\n", "Expecting", "MAPPING");
+	assert_refused(VALID_SETTINGS "foo: 1\n", "foo", "allowed keys");
+	assert_refused(VALID_SETTINGS "limits:\n  foo: 1\n", "foo", "line: 8");
+	assert_refused(VALID_SETTINGS "name: b\n", "already seen", "name");
+	assert_refused("name: a\n", "region: missing", "platform: missing");
+	assert_refused(VALID_SETTINGS "workers: 0\n",
+		       "x.yaml:7: workers: found \"0\"", "from 1 to 256");
+	assert_refused(VALID_SETTINGS "workers: 5s\n", "found \"5s\"",
+		       "whole number");
+	assert_refused(VALID_SETTINGS "workers: -1\n", "found \"-1\"",
+		       "whole number");
+	assert_refused(
+		VALID_SETTINGS "limits:\n  body_max_bytes: 99999999999\n",
+		"x.yaml:8: limits.body_max_bytes", "from 1024 to 16777216");
+	assert_refused(VALID_SETTINGS "limits:\n  body_max_bytes:\n",
+		       "body_max_bytes", "allowed");
+	assert_refused(VALID_SETTINGS "log_level: loud\n", "loud",
+		       "error, warn, info or debug");
+	assert_refused(VALID_SETTINGS "control: localhost:80\n", "localhost:80",
+		       "IP number");
+	assert_refused(VALID_SETTINGS "control: 127.0.0.1:24101\n", "control",
+		       "another address");
+	assert_refused(VALID_SETTINGS "seeds:\n  - 127.0.0.1:1\n", "seeds",
+		       "allowed keys");
+	assert_refused(VALID_SETTINGS "timing:\n  lease_ms: 2000\n", "lease_ms",
+		       "three times renew_ms");
+	assert_refused(VALID_SETTINGS "timing:\n  confirm_ms: 9000\n",
+		       "lease_ms", "at least 9000, as confirm_ms");
+	assert_refused(VALID_SETTINGS
+		       "limits: &a\n  requests_max: 1\ntiming: *a\n",
+		       "x.yaml", "");
 }
 
-static void test_all_faults_named(void)
+static void test_all_faults_are_reported(void)
 {
-	refuse(BASE "workers: 0\ncontrol: x\n", "x.yaml:7: workers",
-	       "x.yaml:8: control");
+	assert_refused(VALID_SETTINGS "workers: 0\ncontrol: x\n",
+		       "x.yaml:7: workers", "x.yaml:8: control");
 }
 
 static void test_addresses(void)
@@ -103,32 +112,35 @@
 	g_assert_false(fg_settings_is_address(""));
 }
 
-static void test_switches(void)
+static void test_switches_need_test_env(void)
 {
 	struct fg_settings *s;
 
 	unsetenv(FG_TEST_ENV);
-	refuse(BASE "switches:\n  no_pin: true\n", "switches.no_pin",
-	       FG_TEST_ENV "=1");
-	refuse(BASE "switches:\n  no_pin: false\n", "switches.no_pin",
-	       FG_TEST_ENV "=1");
+	assert_refused(VALID_SETTINGS "switches:\n  no_pin: true\n",
+		       "switches.no_pin", FG_TEST_ENV "=1");
+	assert_refused(VALID_SETTINGS "switches:\n  no_pin: false\n",
+		       "switches.no_pin", FG_TEST_ENV "=1");
 	setenv(FG_TEST_ENV, "1", 1);
-	s = fg_settings_parse("x", BASE "switches:\n  no_pin: true\n", NULL);
+	s = fg_settings_parse("x", VALID_SETTINGS "switches:\n  no_pin: true\n",
+			      NULL);
 	g_assert_true(s->switches.no_pin);
 	g_assert_false(s->switches.no_fence);
 	fg_settings_free(s);
-	refuse(BASE "switches:\n  no_pin: yes\n", "no_pin", "true or false");
+	assert_refused(VALID_SETTINGS "switches:\n  no_pin: yes\n", "no_pin",
+		       "true or false");
 	unsetenv(FG_TEST_ENV);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/settings/examples", test_examples);
+	g_test_add_func("/settings/examples", test_examples_are_valid);
 	g_test_add_func("/settings/defaults", test_defaults);
-	g_test_add_func("/settings/refused", test_refused);
-	g_test_add_func("/settings/all_faults_named", test_all_faults_named);
+	g_test_add_func("/settings/refused", test_invalid_settings_are_refused);
+	g_test_add_func("/settings/all_faults_named",
+			test_all_faults_are_reported);
 	g_test_add_func("/settings/addresses", test_addresses);
-	g_test_add_func("/settings/switches", test_switches);
+	g_test_add_func("/settings/switches", test_switches_need_test_env);
 	return g_test_run();
 }
