--- a/lib/check/fg_check.c
+++ b/lib/check/fg_check.c
@@ -13,15 +13,14 @@
 	conf->revision_ms = 7000;
 }
 
-static void free_events(gpointer events)
+static void free_array(gpointer events)
 {
 	g_ptr_array_free(events, TRUE);
 }
 
 static GHashTable *index_new(void)
 {
-	return g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-				     free_events);
+	return g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_array);
 }
 
 struct fg_check *fg_check_new(const struct fg_check_conf *conf)
@@ -30,14 +29,14 @@
 
 	c->conf = *conf;
 	c->events = g_ptr_array_new_with_free_func(event_free);
-	c->texts = g_string_chunk_new(4096);
+	c->strings = g_string_chunk_new(4096);
 	c->by_tag = index_new();
 	c->by_who = index_new();
 	c->by_id = index_new();
-	for (int i = 0; i < OF_COUNT; i++)
+	for (int i = 0; i < SOURCE_COUNT; i++)
 		c->missing[i] = "";
 	for (int p = 1; p <= FG_PROMISE_LAST; p++) {
-		c->findings[p].offenders = g_ptr_array_new();
+		c->findings[p].evidence = g_ptr_array_new();
 		c->findings[p].reason = "";
 	}
 	return c;
@@ -48,12 +47,12 @@
 	if (c == NULL)
 		return;
 	for (int p = 1; p <= FG_PROMISE_LAST; p++)
-		g_ptr_array_free(c->findings[p].offenders, TRUE);
+		g_ptr_array_free(c->findings[p].evidence, TRUE);
 	g_hash_table_destroy(c->by_tag);
 	g_hash_table_destroy(c->by_who);
 	g_hash_table_destroy(c->by_id);
 	g_ptr_array_free(c->events, TRUE);
-	g_string_chunk_free(c->texts);
+	g_string_chunk_free(c->strings);
 	g_free(c);
 }
 
@@ -68,7 +67,7 @@
 		if (end == text)
 			continue;
 		line = g_strndup(text, end - text);
-		ev = event_parse(line, c->texts, error);
+		ev = event_parse(line, c->strings, error);
 		g_free(line);
 		if (ev == NULL)
 			return false;
@@ -93,8 +92,8 @@
 	g_ptr_array_add(events, ev);
 }
 
-const GPtrArray *check_find(const struct fg_check *c, GHashTable *index,
-			    const char *key)
+const GPtrArray *check_find_events(const struct fg_check *c, GHashTable *index,
+				   const char *key)
 {
 	static const GPtrArray none;
 	const GPtrArray *events = g_hash_table_lookup(index, key);
@@ -103,7 +102,7 @@
 	return events != NULL ? events : &none;
 }
 
-static int by_time(gconstpointer a, gconstpointer b)
+static int compare_by_time(gconstpointer a, gconstpointer b)
 {
 	const struct event *x = *(struct event *const *)a;
 	const struct event *y = *(struct event *const *)b;
@@ -115,7 +114,7 @@
 
 static void build_indexes(struct fg_check *c)
 {
-	g_ptr_array_sort(c->events, by_time);
+	g_ptr_array_sort(c->events, compare_by_time);
 	for (guint i = 0; i < c->events->len; i++) {
 		struct event *ev = event_at(c->events, i);
 
@@ -126,17 +125,17 @@
 	}
 }
 
-struct event *check_return_of(const struct fg_check *c,
-			      const struct event *invoke, fg_ms *until)
+struct event *check_find_return(const struct fg_check *c,
+				const struct event *invoke, fg_ms *until)
 {
-	const GPtrArray *events = check_find(c, c->by_tag, invoke->tag);
+	const GPtrArray *events = check_find_events(c, c->by_tag, invoke->tag);
 	struct event *answer = NULL;
 
 	*until = FG_MS_NEVER;
 	for (guint i = 0; i < events->len; i++) {
 		struct event *ev = event_at(events, i);
 
-		if (by_time(&ev, &invoke) <= 0)
+		if (compare_by_time(&ev, &invoke) <= 0)
 			continue;
 		if (ev->type == EV_INVOKE) {
 			*until = ev->t;
@@ -150,41 +149,42 @@
 
 /* ---- Missing histories ---- */
 
-static void miss(struct fg_check *c, enum history_of of, const char *reason)
+static void mark_missing(struct fg_check *c, enum source source,
+			 const char *reason)
 {
-	if (*c->missing[of] == '\0')
-		c->missing[of] = reason;
+	if (*c->missing[source] == '\0')
+		c->missing[source] = reason;
 }
 
-static const char *no_history_of(struct fg_check *c, const char *name)
+static const char *format_no_history(struct fg_check *c, const char *name)
 {
 	char *text = g_strdup_printf("no history of %s", name);
-	const char *reason = g_string_chunk_insert_const(c->texts, text);
+	const char *reason = g_string_chunk_insert_const(c->strings, text);
 
 	g_free(text);
 	return reason;
 }
 
-static void expect_process(struct fg_check *c, const struct event *live)
+static void require_history(struct fg_check *c, const struct event *live)
 {
 	const char *reason;
 
 	if (g_hash_table_contains(c->by_who, live->name))
 		return;
-	reason = no_history_of(c, live->name);
+	reason = format_no_history(c, live->name);
 	if (*live->kind == '\0')
-		for (int i = 0; i < OF_COUNT; i++)
-			miss(c, i, reason);
+		for (int i = 0; i < SOURCE_COUNT; i++)
+			mark_missing(c, i, reason);
 	else if (strcmp(live->kind, "caller") == 0)
-		miss(c, OF_CALLERS, reason);
+		mark_missing(c, SOURCE_CALLERS, reason);
 	else if (strcmp(live->kind, "entry") == 0)
-		miss(c, OF_ENTRIES, reason);
+		mark_missing(c, SOURCE_ENTRIES, reason);
 	else if (strcmp(live->kind, "engine") == 0 ||
 		 strcmp(live->kind, "plain") == 0)
-		miss(c, OF_ENDPOINTS, reason);
+		mark_missing(c, SOURCE_ENDPOINTS, reason);
 }
 
-static bool has(const GPtrArray *events, enum event_type type)
+static bool has_event_of_type(const GPtrArray *events, enum event_type type)
 {
 	for (guint i = 0; i < events->len; i++)
 		if (event_at(events, i)->type == type)
@@ -192,44 +192,49 @@
 	return false;
 }
 
-static void expect_origin(struct fg_check *c, const struct event *run)
+static void require_origin(struct fg_check *c, const struct event *run)
 {
-	if (!has(check_find(c, c->by_tag, run->tag), EV_INVOKE))
-		miss(c, OF_CALLERS, "a request ran that no caller invoked");
-	if (!has(check_find(c, c->by_id, run->id), EV_DISPATCH))
-		miss(c, OF_ENTRIES, "a request ran that no entry dispatched");
+	if (!has_event_of_type(check_find_events(c, c->by_tag, run->tag),
+			       EV_INVOKE))
+		mark_missing(c, SOURCE_CALLERS,
+			     "a request ran that no caller invoked");
+	if (!has_event_of_type(check_find_events(c, c->by_id, run->id),
+			       EV_DISPATCH))
+		mark_missing(c, SOURCE_ENTRIES,
+			     "a request ran that no entry dispatched");
 }
 
 static void find_missing(struct fg_check *c)
 {
-	bool seen[OF_COUNT] = { false };
+	bool seen[SOURCE_COUNT] = { false };
 
 	for (guint i = 0; i < c->events->len; i++) {
 		const struct event *ev = event_at(c->events, i);
 
 		if (ev->type == EV_LIVE)
-			expect_process(c, ev);
+			require_history(c, ev);
 		if (ev->type == EV_DISPATCH && *ev->ep != '\0' &&
 		    !g_hash_table_contains(c->by_who, ev->ep))
-			miss(c, OF_ENDPOINTS, no_history_of(c, ev->ep));
-		if (event_is_run(ev))
-			expect_origin(c, ev);
-		seen[OF_CALLERS] |= ev->type == EV_INVOKE;
-		seen[OF_ENDPOINTS] |= event_is_run(ev);
-		seen[OF_ENTRIES] |=
+			mark_missing(c, SOURCE_ENDPOINTS,
+				     format_no_history(c, ev->ep));
+		if (event_is_execution(ev))
+			require_origin(c, ev);
+		seen[SOURCE_CALLERS] |= ev->type == EV_INVOKE;
+		seen[SOURCE_ENDPOINTS] |= event_is_execution(ev);
+		seen[SOURCE_ENTRIES] |=
 			ev->type == EV_REVISION || ev->type == EV_DISPATCH;
 		if (ev->type == EV_LOAD_START || ev->type == EV_RESTART)
-			seen[OF_ENDPOINTS] = true;
+			seen[SOURCE_ENDPOINTS] = true;
 	}
-	if (!seen[OF_CALLERS])
-		miss(c, OF_CALLERS, "no history of callers");
-	if (!seen[OF_ENDPOINTS])
-		miss(c, OF_ENDPOINTS, "no history of endpoints");
-	if (!seen[OF_ENTRIES])
-		miss(c, OF_ENTRIES, "no history of entries");
+	if (!seen[SOURCE_CALLERS])
+		mark_missing(c, SOURCE_CALLERS, "no history of callers");
+	if (!seen[SOURCE_ENDPOINTS])
+		mark_missing(c, SOURCE_ENDPOINTS, "no history of endpoints");
+	if (!seen[SOURCE_ENTRIES])
+		mark_missing(c, SOURCE_ENTRIES, "no history of entries");
 }
 
-static const bool needs[FG_PROMISE_LAST + 1][OF_COUNT] = {
+static const bool required[FG_PROMISE_LAST + 1][SOURCE_COUNT] = {
 	[FG_PROMISE_RIGHT_ADAPTER] = { true, true, false },
 	[FG_PROMISE_NO_EVICTION_IN_USE] = { false, true, false },
 	[FG_PROMISE_WHOLE_ANSWER] = { true, true, false },
@@ -240,27 +245,28 @@
 	[FG_PROMISE_CONFIGURATION] = { false, false, true },
 };
 
-static void apply_missing(struct fg_check *c)
+static void set_undecided_reasons(struct fg_check *c)
 {
 	for (int p = 1; p <= FG_PROMISE_LAST; p++)
-		for (int of = 0; of < OF_COUNT; of++)
-			if (needs[p][of] && *c->findings[p].reason == '\0')
-				c->findings[p].reason = c->missing[of];
+		for (int source = 0; source < SOURCE_COUNT; source++)
+			if (required[p][source] &&
+			    *c->findings[p].reason == '\0')
+				c->findings[p].reason = c->missing[source];
 }
 
 /* ---- Verdicts ---- */
 
-void check_count(struct fg_check *c, enum fg_promise p)
+void check_count_event(struct fg_check *c, enum fg_promise p)
 {
-	c->findings[p].events++;
+	c->findings[p].n_checked++;
 }
 
-void check_offends(struct fg_check *c, enum fg_promise p, struct event *ev)
+void check_add_evidence(struct fg_check *c, enum fg_promise p, struct event *ev)
 {
-	GPtrArray *offenders = c->findings[p].offenders;
+	GPtrArray *evidence = c->findings[p].evidence;
 
-	if (!g_ptr_array_find(offenders, ev, NULL))
-		g_ptr_array_add(offenders, ev);
+	if (!g_ptr_array_find(evidence, ev, NULL))
+		g_ptr_array_add(evidence, ev);
 }
 
 void fg_check_run(struct fg_check *c)
@@ -271,14 +277,14 @@
 	check_engines(c);
 	check_stops(c);
 	check_revisions(c);
-	apply_missing(c);
+	set_undecided_reasons(c);
 	for (int p = 1; p <= FG_PROMISE_LAST; p++)
-		g_ptr_array_sort(c->findings[p].offenders, by_time);
+		g_ptr_array_sort(c->findings[p].evidence, compare_by_time);
 }
 
 enum fg_verdict fg_check_verdict(const struct fg_check *c, enum fg_promise p)
 {
-	if (c->findings[p].offenders->len > 0)
+	if (c->findings[p].evidence->len > 0)
 		return FG_VERDICT_VIOLATED;
 	return *c->findings[p].reason != '\0' ? FG_VERDICT_UNDECIDED
 					      : FG_VERDICT_OK;
@@ -286,18 +292,18 @@
 
 uint32_t fg_check_events(const struct fg_check *c, enum fg_promise p)
 {
-	return c->findings[p].events;
+	return c->findings[p].n_checked;
 }
 
 uint32_t fg_check_evidence_count(const struct fg_check *c, enum fg_promise p)
 {
-	return c->findings[p].offenders->len;
+	return c->findings[p].evidence->len;
 }
 
 const char *fg_check_evidence_line(const struct fg_check *c, enum fg_promise p,
 				   uint32_t i)
 {
-	return event_at(c->findings[p].offenders, i)->line;
+	return event_at(c->findings[p].evidence, i)->line;
 }
 
 const char *fg_check_reason(const struct fg_check *c, enum fg_promise p)
--- a/lib/check/fg_check_answers.c
+++ b/lib/check/fg_check_answers.c
@@ -1,18 +1,20 @@
-/* Promises about answers: right adapter, whole, truly not run, filed once. */
+/* Promises about answers: right adapter, complete, NOT_RUN only if not run,
+ * filed once. */
 #include "check/fg_check_internal.h"
 
 #include <string.h>
 
-static bool same(const char *a, const char *b)
+static bool is_equal(const char *a, const char *b)
 {
 	return strcmp(a, b) == 0;
 }
 
-/* The invocation that a run belongs to: the last one of its tag before it. */
-static struct event *invoke_of(const struct fg_check *c,
-			       const struct event *run)
+/* Returns the invocation that a run belongs to: the last one with its tag that
+ * is not later, or the first one if all are later. NULL if there is none. */
+static struct event *find_invoke(const struct fg_check *c,
+				 const struct event *run)
 {
-	const GPtrArray *events = check_find(c, c->by_tag, run->tag);
+	const GPtrArray *events = check_find_events(c, c->by_tag, run->tag);
 	struct event *invoke = NULL;
 
 	for (guint i = 0; i < events->len; i++) {
@@ -25,127 +27,134 @@
 	return invoke;
 }
 
-/* The slot holds what the engine was asked to run. */
+/* The slot must hold the adapter and version that the engine was asked to run.
+ */
 static void check_slot(struct fg_check *c, struct event *run)
 {
-	check_count(c, FG_PROMISE_RIGHT_ADAPTER);
-	if (!same(run->adapter, run->slot_adapter) ||
-	    !same(run->version, run->slot_version))
-		check_offends(c, FG_PROMISE_RIGHT_ADAPTER, run);
+	check_count_event(c, FG_PROMISE_RIGHT_ADAPTER);
+	if (!is_equal(run->adapter, run->slot_adapter) ||
+	    !is_equal(run->version, run->slot_version))
+		check_add_evidence(c, FG_PROMISE_RIGHT_ADAPTER, run);
 }
 
-/* An invocation without version takes any. */
+/* An invocation without a version accepts any version. */
 static void check_adapter(struct fg_check *c, struct event *run)
 {
-	struct event *invoke = invoke_of(c, run);
+	struct event *invoke = find_invoke(c, run);
 
 	check_slot(c, run);
 	if (invoke == NULL)
 		return;
-	if (same(run->adapter, invoke->adapter) &&
-	    (*invoke->version == '\0' || same(run->version, invoke->version)))
+	if (is_equal(run->adapter, invoke->adapter) &&
+	    (*invoke->version == '\0' ||
+	     is_equal(run->version, invoke->version)))
 		return;
-	check_offends(c, FG_PROMISE_RIGHT_ADAPTER, invoke);
-	check_offends(c, FG_PROMISE_RIGHT_ADAPTER, run);
+	check_add_evidence(c, FG_PROMISE_RIGHT_ADAPTER, invoke);
+	check_add_evidence(c, FG_PROMISE_RIGHT_ADAPTER, run);
 }
 
-static bool ran_well(const struct event *ev)
+static bool is_successful_run(const struct event *ev)
 {
 	return (ev->type == EV_RUN_END || ev->type == EV_EXEC) && ev->ok == 1;
 }
 
-/* Some run that ended well stands behind the answer. */
-static bool has_source(const struct fg_check *c, const struct event *invoke,
-		       const struct event *answer)
+/* Returns true if a successful run produced the answer. A replayed answer may
+ * come from a run with the same idempotency key and another tag. */
+static bool has_successful_run(const struct fg_check *c,
+			       const struct event *invoke,
+			       const struct event *answer)
 {
-	const GPtrArray *events = check_find(c, c->by_tag, invoke->tag);
+	const GPtrArray *events = check_find_events(c, c->by_tag, invoke->tag);
 
 	for (guint i = 0; i < events->len; i++)
-		if (ran_well(event_at(events, i)))
+		if (is_successful_run(event_at(events, i)))
 			return true;
 	if (answer->replayed != 1)
 		return false;
 	for (guint i = 0; i < c->events->len; i++) {
 		const struct event *ev = event_at(c->events, i);
 
-		if (ran_well(ev) && *ev->key != '\0' &&
-		    same(ev->key, invoke->key) && ev->t <= answer->t)
+		if (is_successful_run(ev) && *ev->key != '\0' &&
+		    is_equal(ev->key, invoke->key) && ev->t <= answer->t)
 			return true;
 	}
 	return false;
 }
 
-static void check_whole(struct fg_check *c, struct event *invoke,
-			struct event *answer)
+static void check_complete(struct fg_check *c, struct event *invoke,
+			   struct event *answer)
 {
-	bool complete = *c->missing[OF_ENDPOINTS] == '\0';
+	bool have_endpoint_histories = *c->missing[SOURCE_ENDPOINTS] == '\0';
 
-	if (!same(answer->outcome, "DONE"))
+	if (!is_equal(answer->outcome, "DONE"))
 		return;
-	check_count(c, FG_PROMISE_WHOLE_ANSWER);
-	if (answer->whole == 1 && (!complete || has_source(c, invoke, answer)))
+	check_count_event(c, FG_PROMISE_WHOLE_ANSWER);
+	if (answer->whole == 1 &&
+	    (!have_endpoint_histories || has_successful_run(c, invoke, answer)))
 		return;
-	check_offends(c, FG_PROMISE_WHOLE_ANSWER, invoke);
-	check_offends(c, FG_PROMISE_WHOLE_ANSWER, answer);
+	check_add_evidence(c, FG_PROMISE_WHOLE_ANSWER, invoke);
+	check_add_evidence(c, FG_PROMISE_WHOLE_ANSWER, answer);
 }
 
-/* An invocation has one answer, and an answer has an invocation. */
-static void check_own(struct fg_check *c, struct event *answer)
+/* Each answer must belong to an invocation and be its only answer. */
+static void check_belongs_to_invoke(struct fg_check *c, struct event *answer)
 {
-	const struct event *invoke = invoke_of(c, answer);
+	const struct event *invoke = find_invoke(c, answer);
 	fg_ms until;
 
-	if (invoke != NULL && check_return_of(c, invoke, &until) == answer)
+	if (invoke != NULL && check_find_return(c, invoke, &until) == answer)
 		return;
-	check_offends(c, FG_PROMISE_WHOLE_ANSWER, answer);
+	check_add_evidence(c, FG_PROMISE_WHOLE_ANSWER, answer);
 }
 
 static void check_not_run(struct fg_check *c, struct event *invoke,
 			  struct event *answer, fg_ms until)
 {
-	const GPtrArray *events = check_find(c, c->by_tag, invoke->tag);
+	const GPtrArray *events = check_find_events(c, c->by_tag, invoke->tag);
 
-	if (!same(answer->outcome, "NOT_RUN"))
+	if (!is_equal(answer->outcome, "NOT_RUN"))
 		return;
-	check_count(c, FG_PROMISE_NOT_RUN_TRUE);
+	check_count_event(c, FG_PROMISE_NOT_RUN_TRUE);
 	for (guint i = 0; i < events->len; i++) {
 		struct event *ev = event_at(events, i);
 
-		if (!event_is_run(ev) || ev->t < invoke->t || ev->t >= until)
+		if (!event_is_execution(ev) || ev->t < invoke->t ||
+		    ev->t >= until)
 			continue;
-		check_offends(c, FG_PROMISE_NOT_RUN_TRUE, answer);
-		check_offends(c, FG_PROMISE_NOT_RUN_TRUE, ev);
+		check_add_evidence(c, FG_PROMISE_NOT_RUN_TRUE, answer);
+		check_add_evidence(c, FG_PROMISE_NOT_RUN_TRUE, ev);
 	}
 }
 
-/* Keys belong to a caller; a run whose caller is not known may be anybody's,
- * so it is compared by key alone. */
-static bool same_filing(const struct fg_check *c, const struct event *a,
-			const struct event *b)
+/* Idempotency keys are scoped to a caller. If the caller of a run is unknown,
+ * only the keys are compared. */
+static bool is_same_filing(const struct fg_check *c, const struct event *a,
+			   const struct event *b)
 {
-	const struct event *x = invoke_of(c, a);
-	const struct event *y = invoke_of(c, b);
+	const struct event *x = find_invoke(c, a);
+	const struct event *y = find_invoke(c, b);
 
-	if (!same(a->key, b->key))
+	if (!is_equal(a->key, b->key))
 		return false;
-	return x == NULL || y == NULL || same(x->who, y->who);
+	return x == NULL || y == NULL || is_equal(x->who, y->who);
 }
 
-static void check_filed(struct fg_check *c, GHashTable *by_key,
-			struct event *exec)
+static void check_filed_once(struct fg_check *c, GHashTable *by_key,
+			     struct event *exec)
 {
 	GPtrArray *earlier = g_hash_table_lookup(by_key, exec->key);
 
-	check_count(c, FG_PROMISE_FILED_ONCE);
+	check_count_event(c, FG_PROMISE_FILED_ONCE);
 	if (earlier == NULL) {
 		earlier = g_ptr_array_new();
 		g_hash_table_insert(by_key, (gpointer)exec->key, earlier);
 	}
 	for (guint i = 0; i < earlier->len; i++) {
-		if (!same_filing(c, event_at(earlier, i), exec))
+		if (!is_same_filing(c, event_at(earlier, i), exec))
 			continue;
-		check_offends(c, FG_PROMISE_FILED_ONCE, event_at(earlier, i));
-		check_offends(c, FG_PROMISE_FILED_ONCE, exec);
+		check_add_evidence(c, FG_PROMISE_FILED_ONCE,
+				   event_at(earlier, i));
+		check_add_evidence(c, FG_PROMISE_FILED_ONCE, exec);
 	}
 	g_ptr_array_add(earlier, exec);
 }
@@ -166,21 +175,22 @@
 		fg_ms until;
 
 		if (ev->type == EV_INVOKE)
-			answer = check_return_of(c, ev, &until);
+			answer = check_find_return(c, ev, &until);
 		if (answer != NULL) {
-			check_whole(c, ev, answer);
+			check_complete(c, ev, answer);
 			check_not_run(c, ev, answer, until);
 		}
 		if (ev->type == EV_RETURN)
-			check_own(c, ev);
+			check_belongs_to_invoke(c, ev);
 		if (ev->type == EV_RUN_START)
 			check_adapter(c, ev);
-		/* Still so when it ended well; older logs do not say. */
+		/* The slot must be unchanged at the end of a successful run.
+		 * Older histories lack these fields. */
 		if (ev->type == EV_RUN_END && ev->ok == 1 &&
 		    *ev->slot_adapter != '\0')
 			check_slot(c, ev);
-		if (ev->type == EV_EXEC && same(ev->op, "file"))
-			check_filed(c, by_key, ev);
+		if (ev->type == EV_EXEC && is_equal(ev->op, "file"))
+			check_filed_once(c, by_key, ev);
 	}
 	g_hash_table_destroy(by_key);
 }
--- a/lib/check/fg_check_control.c
+++ b/lib/check/fg_check_control.c
@@ -3,8 +3,8 @@
 
 #include <string.h>
 
-static struct event *first_of(const GPtrArray *events, enum event_type type,
-			      fg_ms from)
+static struct event *find_first(const GPtrArray *events, enum event_type type,
+				fg_ms from)
 {
 	for (guint i = 0; i < events->len; i++) {
 		struct event *ev = event_at(events, i);
@@ -15,9 +15,10 @@
 	return NULL;
 }
 
-/* The test's `live` or `dead` event about a process; NULL if there is none. */
-static struct event *about(const struct fg_check *c, enum event_type type,
-			   const char *name)
+/* Returns the first `live` or `dead` event that the test wrote about a process,
+ * or NULL. */
+static struct event *find_process_event(const struct fg_check *c,
+					enum event_type type, const char *name)
 {
 	for (guint i = 0; i < c->events->len; i++) {
 		struct event *ev = event_at(c->events, i);
@@ -33,13 +34,13 @@
 struct stop {
 	struct fg_check *c;
 	struct event *begin;
-	struct event *end; /* NULL: none */
-	const char *addr;  /* of the entry, "" if not told */
+	struct event *end; /* NULL if the history has none */
+	const char *addr;  /* of the entry; "" if unknown */
 };
 
-static bool ended_well(const struct fg_check *c, const char *id)
+static bool has_successful_run(const struct fg_check *c, const char *id)
 {
-	const GPtrArray *events = check_find(c, c->by_id, id);
+	const GPtrArray *events = check_find_events(c, c->by_id, id);
 
 	for (guint i = 0; i < events->len; i++) {
 		const struct event *ev = event_at(events, i);
@@ -51,10 +52,12 @@
 	return false;
 }
 
-static const struct event *dispatch_by(const struct stop *s,
-				       const struct event *invoke, fg_ms until)
+static const struct event *find_last_dispatch(const struct stop *s,
+					      const struct event *invoke,
+					      fg_ms until)
 {
-	const GPtrArray *events = check_find(s->c, s->c->by_tag, invoke->tag);
+	const GPtrArray *events =
+		check_find_events(s->c, s->c->by_tag, invoke->tag);
 	const struct event *last = NULL;
 
 	for (guint i = 0; i < events->len; i++) {
@@ -68,9 +71,9 @@
 }
 
 /*
- * A request in progress when the stop began was cut off if its caller got no
- * answer, or none from the entry, or if its endpoint ended it well and the
- * caller was not told DONE.
+ * Returns true if a stop cut off a request that was in progress. The request
+ * was cut off if its caller got no answer, if the connection was closed (reason
+ * no_answer), or if the run succeeded and the answer is not DONE.
  */
 static bool is_cut_off(const struct stop *s, const struct event *dispatch,
 		       const struct event *answer)
@@ -79,10 +82,10 @@
 		return true;
 	if (strcmp(answer->outcome, "DONE") == 0 || dispatch == NULL)
 		return false;
-	return ended_well(s->c, dispatch->id);
+	return has_successful_run(s->c, dispatch->id);
 }
 
-static void check_in_progress(struct stop *s, struct event *invoke)
+static void check_request(struct stop *s, struct event *invoke)
 {
 	const struct event *dispatch;
 	struct event *answer;
@@ -90,40 +93,41 @@
 
 	if (invoke->t > s->begin->t)
 		return;
-	answer = check_return_of(s->c, invoke, &until);
+	answer = check_find_return(s->c, invoke, &until);
 	if (answer != NULL && answer->t < s->begin->t)
 		return;
-	dispatch = dispatch_by(s, invoke, until);
+	dispatch = find_last_dispatch(s, invoke, until);
 	if (dispatch == NULL &&
 	    (*s->addr == '\0' || strcmp(invoke->entry, s->addr) != 0))
 		return;
-	check_count(s->c, FG_PROMISE_PLANNED_STOP);
+	check_count_event(s->c, FG_PROMISE_PLANNED_STOP);
 	if (!is_cut_off(s, dispatch, answer))
 		return;
-	check_offends(s->c, FG_PROMISE_PLANNED_STOP, s->begin);
-	check_offends(s->c, FG_PROMISE_PLANNED_STOP, invoke);
+	check_add_evidence(s->c, FG_PROMISE_PLANNED_STOP, s->begin);
+	check_add_evidence(s->c, FG_PROMISE_PLANNED_STOP, invoke);
 	if (answer != NULL)
-		check_offends(s->c, FG_PROMISE_PLANNED_STOP, answer);
+		check_add_evidence(s->c, FG_PROMISE_PLANNED_STOP, answer);
 }
 
 static void check_stop(struct stop *s)
 {
 	struct fg_check *c = s->c;
-	const struct event *dead = about(c, EV_DEAD, s->begin->who);
+	const struct event *dead =
+		find_process_event(c, EV_DEAD, s->begin->who);
 
 	if (s->end == NULL && dead != NULL && dead->t >= s->begin->t)
-		return; /* killed while it stopped: no planned stop */
-	check_count(c, FG_PROMISE_PLANNED_STOP);
+		return; /* killed during the stop: not a planned stop */
+	check_count_event(c, FG_PROMISE_PLANNED_STOP);
 	if (s->end == NULL) {
 		c->findings[FG_PROMISE_PLANNED_STOP].reason =
 			"a planned stop did not end within the history";
 		return;
 	}
 	if (s->end->in_progress > 0)
-		check_offends(c, FG_PROMISE_PLANNED_STOP, s->end);
+		check_add_evidence(c, FG_PROMISE_PLANNED_STOP, s->end);
 	for (guint i = 0; i < c->events->len; i++)
 		if (event_at(c->events, i)->type == EV_INVOKE)
-			check_in_progress(s, event_at(c->events, i));
+			check_request(s, event_at(c->events, i));
 }
 
 void check_stops(struct fg_check *c)
@@ -135,9 +139,9 @@
 
 		if (s.begin->type != EV_STOP_BEGIN)
 			continue;
-		own = check_find(c, c->by_who, s.begin->who);
-		s.end = first_of(own, EV_STOP_END, s.begin->t);
-		live = about(c, EV_LIVE, s.begin->who);
+		own = check_find_events(c, c->by_who, s.begin->who);
+		s.end = find_first(own, EV_STOP_END, s.begin->t);
+		live = find_process_event(c, EV_LIVE, s.begin->who);
 		s.addr = live != NULL ? live->addr : "";
 		check_stop(&s);
 	}
@@ -145,12 +149,13 @@
 
 /* ---- Promise 8 ---- */
 
-/* When an entry stopped answering; FG_MS_NEVER if it did not. */
-static fg_ms end_of(const struct fg_check *c, const char *who)
+/* Returns when an entry stopped serving: when its planned stop began or when it
+ * died. FG_MS_NEVER if neither happened. */
+static fg_ms find_end_time(const struct fg_check *c, const char *who)
 {
-	const GPtrArray *own = check_find(c, c->by_who, who);
-	const struct event *stop = first_of(own, EV_STOP_BEGIN, 0);
-	const struct event *dead = about(c, EV_DEAD, who);
+	const GPtrArray *own = check_find_events(c, c->by_who, who);
+	const struct event *stop = find_first(own, EV_STOP_BEGIN, 0);
+	const struct event *dead = find_process_event(c, EV_DEAD, who);
 	fg_ms end = FG_MS_NEVER;
 
 	if (stop != NULL)
@@ -160,7 +165,7 @@
 	return end;
 }
 
-static void check_reverts(struct fg_check *c, const GPtrArray *own)
+static void check_revision_order(struct fg_check *c, const GPtrArray *own)
 {
 	struct event *highest = NULL;
 
@@ -169,18 +174,20 @@
 
 		if (ev->type != EV_REVISION)
 			continue;
-		check_count(c, FG_PROMISE_CONFIGURATION);
+		check_count_event(c, FG_PROMISE_CONFIGURATION);
 		if (highest != NULL && ev->revision < highest->revision) {
-			check_offends(c, FG_PROMISE_CONFIGURATION, highest);
-			check_offends(c, FG_PROMISE_CONFIGURATION, ev);
+			check_add_evidence(c, FG_PROMISE_CONFIGURATION,
+					   highest);
+			check_add_evidence(c, FG_PROMISE_CONFIGURATION, ev);
 		}
 		if (highest == NULL || ev->revision > highest->revision)
 			highest = ev;
 	}
 }
 
-/* The revision in force at an entry at time t; NULL before its first. */
-static struct event *in_force(const GPtrArray *own, fg_ms t)
+/* Returns the event of the revision in force at an entry at time t, or NULL
+ * before its first one. */
+static struct event *find_revision_at(const GPtrArray *own, fg_ms t)
 {
 	struct event *last = NULL;
 
@@ -193,29 +200,30 @@
 	return last;
 }
 
-/* An entry that has no revision yet serves nobody. One that begins with an
- * old revision after the time is judged at its beginning. */
+/* An entry without a revision serves no requests and is not checked. An entry
+ * whose first revision comes after the time limit is checked at its first
+ * revision. */
 static void check_accepted(struct fg_check *c, struct event *accepted,
 			   const char *who, const GPtrArray *own)
 {
 	fg_ms due = accepted->t + c->conf.revision_ms;
-	struct event *first = first_of(own, EV_REVISION, 0);
-	struct event *have;
+	struct event *first = find_first(own, EV_REVISION, 0);
+	struct event *current;
 
 	if (first == NULL)
 		return;
 	due = MAX(due, first->t);
-	if (due > c->end || end_of(c, who) <= due)
+	if (due > c->end || find_end_time(c, who) <= due)
 		return;
-	check_count(c, FG_PROMISE_CONFIGURATION);
-	have = in_force(own, due);
-	if (have->revision >= accepted->revision)
+	check_count_event(c, FG_PROMISE_CONFIGURATION);
+	current = find_revision_at(own, due);
+	if (current->revision >= accepted->revision)
 		return;
-	check_offends(c, FG_PROMISE_CONFIGURATION, accepted);
-	check_offends(c, FG_PROMISE_CONFIGURATION, have);
+	check_add_evidence(c, FG_PROMISE_CONFIGURATION, accepted);
+	check_add_evidence(c, FG_PROMISE_CONFIGURATION, current);
 }
 
-/* Exactly one preset belongs to a revision. */
+/* All entries must have the same preset for a revision. */
 static void check_presets(struct fg_check *c)
 {
 	GHashTable *first = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -230,8 +238,8 @@
 		if (other == NULL) {
 			g_hash_table_insert(first, &ev->revision, ev);
 		} else if (strcmp(other->preset, ev->preset) != 0) {
-			check_offends(c, FG_PROMISE_CONFIGURATION, other);
-			check_offends(c, FG_PROMISE_CONFIGURATION, ev);
+			check_add_evidence(c, FG_PROMISE_CONFIGURATION, other);
+			check_add_evidence(c, FG_PROMISE_CONFIGURATION, ev);
 		}
 	}
 	g_hash_table_destroy(first);
@@ -240,7 +248,7 @@
 static void check_entry(struct fg_check *c, const char *who,
 			const GPtrArray *own)
 {
-	check_reverts(c, own);
+	check_revision_order(c, own);
 	for (guint i = 0; i < c->events->len; i++) {
 		struct event *ev = event_at(c->events, i);
 
--- a/lib/check/fg_check_internal.h
+++ b/lib/check/fg_check_internal.h
@@ -1,7 +1,7 @@
 /*
- * fg_check_internal - events of histories, and the rules' common ground.
+ * fg_check_internal - typed events, indexes and findings shared by the rules.
  *
- * fg_event.c          parsing
+ * fg_event.c          parsing of history lines
  * fg_check.c          loading, indexes, missing histories, verdicts
  * fg_check_answers.c  promises 1, 3, 4, 5
  * fg_check_engines.c  promises 2, 6
@@ -13,7 +13,7 @@
 #include "check/fg_check.h"
 
 enum event_type {
-	EV_OTHER = 0, /* of a later release; ignored */
+	EV_OTHER = 0, /* unknown, such as from a later release; ignored */
 	EV_OPEN,
 	EV_INVOKE,
 	EV_RETURN,
@@ -37,10 +37,11 @@
 	EV_TYPES,
 };
 
-/* A text field that is absent is "", a number -1, a flag -1. */
+/* A line of a history. The members carry the names of the JSON fields. Absent
+ * strings are "", absent numbers and flags are -1. */
 struct event {
 	fg_ms t;
-	uint32_t seq; /* order of loading, among events of the same time */
+	uint32_t seq; /* loading order; sorts events of equal time */
 	enum event_type type;
 	char *line;
 	const char *who;
@@ -71,64 +72,70 @@
 	int replayed;
 };
 
-/* Parses a line; texts go into the chunk. NULL with *error set. */
-struct event *event_parse(const char *line, GStringChunk *texts,
+/* Parses a line into an event that the caller frees with event_free(). Strings
+ * are stored in `strings`. Returns NULL with *error set if the line is not an
+ * event. */
+struct event *event_parse(const char *line, GStringChunk *strings,
 			  GError **error);
 void event_free(void *ev);
 
-/* Processes whose histories a promise may need. */
-enum history_of {
-	OF_CALLERS = 0,
-	OF_ENDPOINTS = 1,
-	OF_ENTRIES = 2,
-	OF_COUNT = 3,
+/* Groups of processes whose histories a promise may depend on. */
+enum source {
+	SOURCE_CALLERS = 0,
+	SOURCE_ENDPOINTS = 1,
+	SOURCE_ENTRIES = 2,
+	SOURCE_COUNT = 3,
 };
 
 struct finding {
-	uint32_t events;
-	GPtrArray *offenders; /* struct event, borrowed */
-	const char *reason;   /* undecided, "" if not */
+	uint32_t n_checked;  /* events checked */
+	GPtrArray *evidence; /* struct event, borrowed; empty: not violated */
+	const char *reason;  /* why undecided, or "" */
 };
 
 struct fg_check {
 	struct fg_check_conf conf;
-	GPtrArray *events; /* owned, in order of time after the run began */
-	GStringChunk *texts;
-	GHashTable *by_tag; /* tag -> GPtrArray of events */
-	GHashTable *by_who; /* who -> GPtrArray of events */
-	GHashTable *by_id;  /* id -> GPtrArray of events */
-	const char *missing[OF_COUNT];
-	fg_ms end; /* time of the last event */
+	GPtrArray *events; /* owned; sorted by time in fg_check_run() */
+	GStringChunk *strings;
+	GHashTable *by_tag;		   /* tag -> GPtrArray of events */
+	GHashTable *by_who;		   /* who -> GPtrArray of events */
+	GHashTable *by_id;		   /* id -> GPtrArray of events */
+	const char *missing[SOURCE_COUNT]; /* first missing history, or "" */
+	fg_ms end;			   /* time of the last event */
 	struct finding findings[FG_PROMISE_LAST + 1];
 };
 
-/* Counts an event as checked. */
-void check_count(struct fg_check *c, enum fg_promise p);
+/* Counts an event as checked for p. */
+void check_count_event(struct fg_check *c, enum fg_promise p);
 
-/* Adds the event to the violation of p, once. */
-void check_offends(struct fg_check *c, enum fg_promise p, struct event *ev);
+/* Marks p as violated and adds the event to the evidence, unless it is already
+ * there. */
+void check_add_evidence(struct fg_check *c, enum fg_promise p,
+			struct event *ev);
 
-/* The events under a key of an index; never NULL. */
-const GPtrArray *check_find(const struct fg_check *c, GHashTable *index,
-			    const char *key);
+/* Returns the events with this key in an index; never NULL. */
+const GPtrArray *check_find_events(const struct fg_check *c, GHashTable *index,
+				   const char *key);
 
 static inline struct event *event_at(const GPtrArray *events, guint i)
 {
 	return events->pdata[i];
 }
 
-/* It was executed: started on an engine, or by a plain service. */
-static inline bool event_is_run(const struct event *ev)
+/* Returns true if the event is the start of a request on an engine, or its
+ * execution by a plain service. */
+static inline bool event_is_execution(const struct event *ev)
 {
 	return ev->type == EV_RUN_START || ev->type == EV_EXEC;
 }
 
-/* The return that answers an invocation, and the time up to which runs of its
- * tag belong to it (a tag may be invoked again). NULL: none. */
-struct event *check_return_of(const struct fg_check *c,
-			      const struct event *invoke, fg_ms *until);
+/* Returns the `return` event of an invocation, or NULL. Runs with the same tag
+ * belong to this invocation before the time *until, when the tag is invoked
+ * again (FG_MS_NEVER if it is not). */
+struct event *check_find_return(const struct fg_check *c,
+				const struct event *invoke, fg_ms *until);
 
-/* The rules; each fills findings. */
+/* The rules. Each adds to c->findings. */
 void check_answers(struct fg_check *c);
 void check_engines(struct fg_check *c);
 void check_stops(struct fg_check *c);
--- a/lib/check/fg_event.c
+++ b/lib/check/fg_event.c
@@ -1,4 +1,4 @@
-/* Parsing one line of a history into a typed event. */
+/* Parses a line of a history into a typed event. */
 #include "check/fg_check_internal.h"
 
 #include <jansson.h>
@@ -62,7 +62,7 @@
 	FIELD(replayed),
 };
 
-static enum event_type type_of(const char *name)
+static enum event_type parse_type(const char *name)
 {
 	for (int i = EV_OPEN; name != NULL && i < EV_TYPES; i++)
 		if (strcmp(name, type_names[i]) == 0)
@@ -70,22 +70,23 @@
 	return EV_OTHER;
 }
 
-/* Ids may be written as numbers. */
-static const char *text_of(const json_t *value, GStringChunk *texts)
+/* Returns a string field. Ids may also be numbers. */
+static const char *get_string(const json_t *value, GStringChunk *strings)
 {
 	char number[24];
 
 	if (json_is_string(value))
-		return g_string_chunk_insert_const(texts,
+		return g_string_chunk_insert_const(strings,
 						   json_string_value(value));
 	if (!json_is_integer(value))
 		return "";
 	g_snprintf(number, sizeof(number), "%" JSON_INTEGER_FORMAT,
 		   json_integer_value(value));
-	return g_string_chunk_insert_const(texts, number);
+	return g_string_chunk_insert_const(strings, number);
 }
 
-static void fill(struct event *ev, const json_t *obj, GStringChunk *texts)
+static void read_fields(struct event *ev, const json_t *obj,
+			GStringChunk *strings)
 {
 	char *base = (char *)ev;
 
@@ -93,7 +94,7 @@
 		const struct field *f = &text_fields[i];
 
 		*(const char **)(base + f->offset) =
-			text_of(json_object_get(obj, f->name), texts);
+			get_string(json_object_get(obj, f->name), strings);
 	}
 	for (size_t i = 0; i < G_N_ELEMENTS(number_fields); i++) {
 		const struct field *f = &number_fields[i];
@@ -111,7 +112,8 @@
 	}
 }
 
-struct event *event_parse(const char *line, GStringChunk *texts, GError **error)
+struct event *event_parse(const char *line, GStringChunk *strings,
+			  GError **error)
 {
 	json_error_t json_error;
 	json_t *obj = json_loads(line, 0, &json_error);
@@ -123,9 +125,9 @@
 	    json_is_string(json_object_get(obj, "who"))) {
 		ev = g_new0(struct event, 1);
 		ev->t = json_integer_value(t);
-		ev->type = type_of(name);
+		ev->type = parse_type(name);
 		ev->line = g_strdup(line);
-		fill(ev, obj, texts);
+		read_fields(ev, obj, strings);
 	} else {
 		g_set_error(error, FG_CHECK_ERROR, FG_CHECK_ERR_LINE,
 			    "not an event: %.120s", line);
--- a/tests/unit/test_check.c
+++ b/tests/unit/test_check.c
@@ -1,5 +1,5 @@
-/* Unit tests of lib/check and lib/history: one clean run, and the same run
- * with one violation planted for each rule. */
+/* Unit tests of lib/check and lib/history. A history without violations must
+ * pass; each test case changes it in one place and states the verdicts. */
 #include <glib.h>
 #include <glib/gstdio.h>
 #include <string.h>
@@ -10,9 +10,9 @@
 
 #define ALL_OK "        "
 
-/* A run in which all promises hold. E1 and E2 are entries, M and N engines, P
- * a plain service, C a caller. E2 stops as planned. */
-static const char clean[] =
+/* A history in which all promises hold. E1 and E2 are entries, M and N engines,
+ * P is a plain service, C a caller. E2 does a planned stop. */
+static const char valid_history[] =
 	"{'t':1,'who':'test','ev':'live','name':'E1','kind':'entry'}\n"
 	"{'t':1,'who':'test','ev':'live','name':'E2','kind':'entry',"
 	"'addr':'e2'}\n"
@@ -26,7 +26,7 @@
 	"{'t':3,'who':'E2','ev':'revision','revision':1,'preset':'peak'}\n"
 	"{'t':5,'who':'M','ev':'load_start','slot':0,'running':0}\n"
 	"{'t':6,'who':'M','ev':'load_end','slot':0,'ok':true}\n"
-	/* an answer, and one that was cut short and told so */
+	/* a draft that is answered with DONE */
 	"{'t':10,'who':'C','ev':'invoke','tag':'a','adapter':'A',"
 	"'version':'1','class':'draft','entry':'e1'}\n"
 	"{'t':11,'who':'E1','ev':'dispatch','id':'a1','tag':'a','ep':'M'}\n"
@@ -38,7 +38,7 @@
 	"{'t':21,'who':'C','ev':'return','tag':'a','outcome':'DONE',"
 	"'whole':true}\n"
 	"{'t':21,'who':'M','ev':'load_start','slot':0,'running':0}\n"
-	/* a filing, repeated, and one not run */
+	/* a filing, its replay, and a filing that does not run */
 	"{'t':30,'who':'C','ev':'invoke','tag':'f','key':'k',"
 	"'class':'filing'}\n"
 	"{'t':31,'who':'E1','ev':'dispatch','id':'f1','tag':'f','ep':'P'}\n"
@@ -53,7 +53,7 @@
 	"{'t':36,'who':'C','ev':'invoke','tag':'h','key':'l',"
 	"'class':'filing'}\n"
 	"{'t':37,'who':'C','ev':'return','tag':'h','outcome':'NOT_RUN'}\n"
-	/* leaving, with work taken within the time allowed */
+	/* an endpoint leaves and gets new work within the time allowed */
 	"{'t':40,'who':'N','ev':'leaving'}\n"
 	"{'t':50,'who':'C','ev':'invoke','tag':'n','adapter':'A',"
 	"'entry':'e2'}\n"
@@ -62,7 +62,7 @@
 	"{'t':4001,'who':'N','ev':'run_start','id':'n1','tag':'n',"
 	"'adapter':'A','version':'2','slot':0,'slot_adapter':'A',"
 	"'slot_version':'2'}\n"
-	/* a planned stop that waits for it */
+	/* a planned stop that waits for this work */
 	"{'t':4010,'who':'E2','ev':'stop_begin','in_progress':1}\n"
 	"{'t':4020,'who':'N','ev':'run_end','id':'n1','tag':'n',"
 	"'ok':true}\n"
@@ -75,8 +75,8 @@
 	"'preset':'ordinary'}\n"
 	"{'t':20000,'who':'test','ev':'dead','name':'M'}\n";
 
-/* One verdict a character: ' ' ok, 'X' violated, '?' undecided. */
-static char *verdicts(const char *text)
+/* Returns one character per promise: ' ' ok, 'X' violated, '?' undecided. */
+static char *check_text(const char *text)
 {
 	char *json = g_strdelimit(g_strdup(text), "'", '"');
 	struct fg_check_conf conf;
@@ -105,44 +105,48 @@
 static void assert_verdicts(const char *what, const char *text,
 			    const char *expected)
 {
-	char *got = verdicts(text);
+	char *got = check_text(text);
 
 	if (strcmp(got, expected) != 0)
 		g_error("%s: \"%s\" instead of \"%s\"", what, got, expected);
 	g_free(got);
 }
 
-struct plant {
+/* Replaces the first `find` in valid_history by `replacement`. */
+struct test_case {
 	const char *what;
-	const char *find; /* "": append */
-	const char *put;
-	const char *expected;
+	const char *find; /* "": append the replacement */
+	const char *replacement;
+	const char *expected; /* as returned by check_text() */
 };
 
-static void assert_plants(const struct plant *plants, size_t n)
+static void assert_cases(const struct test_case *cases, size_t n)
 {
 	for (size_t i = 0; i < n; i++) {
-		const struct plant *p = &plants[i];
-		const char *at = *p->find != '\0' ? strstr(clean, p->find)
-						  : clean + strlen(clean);
+		const struct test_case *p = &cases[i];
+		const char *at =
+			*p->find != '\0'
+				? strstr(valid_history, p->find)
+				: valid_history + strlen(valid_history);
 		char *text;
 
 		g_assert_nonnull(at);
-		text = g_strdup_printf("%.*s%s%s", (int)(at - clean), clean,
-				       p->put, at + strlen(p->find));
+		text = g_strdup_printf("%.*s%s%s", (int)(at - valid_history),
+				       valid_history, p->replacement,
+				       at + strlen(p->find));
 		assert_verdicts(p->what, text, p->expected);
 		g_free(text);
 	}
 }
 
-static void test_clean(void)
+static void test_valid_history(void)
 {
-	assert_verdicts("clean", clean, ALL_OK);
+	assert_verdicts("clean", valid_history, ALL_OK);
 }
 
 static void test_answers(void)
 {
-	static const struct plant plants[] = {
+	static const struct test_case cases[] = {
 		{ "other adapter in the slot", "'slot_adapter':'A'",
 		  "'slot_adapter':'B'", "X       " },
 		{ "other version in the slot", "'slot_version':'1'",
@@ -183,13 +187,14 @@
 		  "    X   " },
 	};
 
-	assert_plants(plants, G_N_ELEMENTS(plants));
+	assert_cases(cases, G_N_ELEMENTS(cases));
 }
 
-/* The same tag after NOT_RUN, and the same key of another caller. */
-static void test_no_false_alarm(void)
+/* Histories that resemble violations but are valid, such as a tag that is sent
+ * again after NOT_RUN, or the same key from another caller. */
+static void test_no_false_positives(void)
 {
-	static const struct plant plants[] = {
+	static const struct test_case cases[] = {
 		{ "sent again", "",
 		  "{'t':100,'who':'C','ev':'invoke','tag':'h','key':'l'}\n"
 		  "{'t':101,'who':'E1','ev':'dispatch','id':'h1',"
@@ -227,12 +232,12 @@
 		  ALL_OK },
 	};
 
-	assert_plants(plants, G_N_ELEMENTS(plants));
+	assert_cases(cases, G_N_ELEMENTS(cases));
 }
 
 static void test_engines(void)
 {
-	static const struct plant plants[] = {
+	static const struct test_case cases[] = {
 		{ "evicted in use by the engine's count",
 		  "'t':21,'who':'M','ev':'load_start','slot':0,'running':0",
 		  "'t':21,'who':'M','ev':'load_start','slot':0,'running':1",
@@ -245,12 +250,12 @@
 		  "     X  " },
 	};
 
-	assert_plants(plants, G_N_ELEMENTS(plants));
+	assert_cases(cases, G_N_ELEMENTS(cases));
 }
 
 static void test_stop(void)
 {
-	static const struct plant plants[] = {
+	static const struct test_case cases[] = {
 		{ "requests left", "'stop_end','in_progress':0",
 		  "'stop_end','in_progress':1", "      X " },
 		{ "no answer",
@@ -273,12 +278,12 @@
 		  "      ? " },
 	};
 
-	assert_plants(plants, G_N_ELEMENTS(plants));
+	assert_cases(cases, G_N_ELEMENTS(cases));
 }
 
 static void test_configuration(void)
 {
-	static const struct plant plants[] = {
+	static const struct test_case cases[] = {
 		{ "too late", "{'t':9000", "{'t':12001", "       X" },
 		{ "never at another entry", "",
 		  "{'t':6,'who':'E3','ev':'revision','revision':1,"
@@ -300,14 +305,14 @@
 		  "       X" },
 	};
 
-	assert_plants(plants, G_N_ELEMENTS(plants));
+	assert_cases(cases, G_N_ELEMENTS(cases));
 }
 
-/* A missing history decides nothing, though what is there may still show a
- * violation. */
-static void test_missing(void)
+/* Without a history that it depends on, a promise is undecided. The remaining
+ * histories may still show a violation. */
+static void test_missing_histories(void)
 {
-	static const struct plant plants[] = {
+	static const struct test_case cases[] = {
 		{ "an entry", "",
 		  "{'t':1,'who':'test','ev':'live','name':'E9',"
 		  "'kind':'entry'}\n",
@@ -343,11 +348,11 @@
 		  "      ?X" },
 	};
 
-	assert_plants(plants, G_N_ELEMENTS(plants));
+	assert_cases(cases, G_N_ELEMENTS(cases));
 	assert_verdicts("nothing", "", "????????");
 }
 
-static void test_lines(void)
+static void test_malformed_lines(void)
 {
 	struct fg_check_conf conf = { 1, 1 };
 	struct fg_check *c = fg_check_new(&conf);
@@ -363,8 +368,8 @@
 	fg_check_free(c);
 }
 
-/* What the writer appends, the checker reads. */
-static void test_history(void)
+/* The checker must accept what fg_history writes. */
+static void test_history_is_readable(void)
 {
 	char *dir = g_dir_make_tmp("fg-history-XXXXXX", NULL);
 	char *path = g_build_filename(dir, "h", NULL);
@@ -408,7 +413,8 @@
 	return NULL;
 }
 
-/* Lines of several threads are whole, and in the order of their times. */
+/* Lines written by several threads must be complete and in the order of their
+ * times. */
 static void test_history_threads(void)
 {
 	char *dir = g_dir_make_tmp("fg-history-XXXXXX", NULL);
@@ -447,15 +453,15 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/check/clean", test_clean);
+	g_test_add_func("/check/clean", test_valid_history);
 	g_test_add_func("/check/answers", test_answers);
-	g_test_add_func("/check/no_false_alarm", test_no_false_alarm);
+	g_test_add_func("/check/no_false_alarm", test_no_false_positives);
 	g_test_add_func("/check/engines", test_engines);
 	g_test_add_func("/check/stop", test_stop);
 	g_test_add_func("/check/configuration", test_configuration);
-	g_test_add_func("/check/missing", test_missing);
-	g_test_add_func("/check/lines", test_lines);
-	g_test_add_func("/check/history", test_history);
+	g_test_add_func("/check/missing", test_missing_histories);
+	g_test_add_func("/check/lines", test_malformed_lines);
+	g_test_add_func("/check/history", test_history_is_readable);
 	g_test_add_func("/check/history_threads", test_history_threads);
 	return g_test_run();
 }
