--- a/programs/fg-check.c
+++ b/programs/fg-check.c
@@ -1,9 +1,10 @@
 /*
- * fg-check - checks histories of a run.
+ * fg-check - checks the histories of a run for violated promises.
  *
- * Prints one line for each promise. Exit status 0: all hold; 1: one is
- * violated; 2: none is violated, but one is undecided, or a history cannot be
- * read.
+ * Prints one line per promise; the history lines that show a violation follow
+ * its line. Exit status: 0 if all promises hold; 1 if a promise is violated; 2
+ * if none is violated but one is undecided, if a history cannot be read, or
+ * after wrong usage.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -41,7 +42,8 @@
 	return ok;
 }
 
-static gboolean add_file(struct fg_check *c, const char *path, GError **error)
+static gboolean add_history(struct fg_check *c, const char *path,
+			    GError **error)
 {
 	char *text;
 	gboolean ok;
@@ -55,7 +57,7 @@
 	return ok;
 }
 
-static enum fg_verdict print_promise(const struct fg_check *c,
+static enum fg_verdict print_verdict(const struct fg_check *c,
 				     enum fg_promise p)
 {
 	enum fg_verdict verdict = fg_check_verdict(c, p);
@@ -72,13 +74,13 @@
 	return verdict;
 }
 
-static int print_all(struct fg_check *c)
+static int check_and_print(struct fg_check *c)
 {
 	bool seen[FG_VERDICT_UNDECIDED + 1] = { false };
 
 	fg_check_run(c);
 	for (int p = 1; p <= FG_PROMISE_LAST; p++)
-		seen[print_promise(c, p)] = true;
+		seen[print_verdict(c, p)] = true;
 	if (seen[FG_VERDICT_VIOLATED])
 		return 1;
 	return seen[FG_VERDICT_UNDECIDED] ? 2 : 0;
@@ -98,9 +100,9 @@
 	}
 	c = fg_check_new(&conf);
 	for (int i = 0; paths[i] != NULL && error == NULL; i++)
-		add_file(c, paths[i], &error);
+		add_history(c, paths[i], &error);
 	if (error == NULL) {
-		status = print_all(c);
+		status = check_and_print(c);
 	} else {
 		fprintf(stderr, "fg-check: %s\n", error->message);
 		g_error_free(error);
--- a/programs/fg-entry.c
+++ b/programs/fg-entry.c
@@ -1,7 +1,8 @@
 /*
- * fg-entry - one entry instance.
+ * fg-entry - an entry instance. SIGTERM and SIGINT begin a planned stop.
  *
- * Exit codes: 0 planned stop done, 1 could not start, 2 usage or settings.
+ * Exit codes: 0 after a planned stop, 1 if the instance could not start, 2 for
+ * wrong usage or invalid settings.
  */
 #include <glib.h>
 #include <signal.h>
@@ -12,17 +13,17 @@
 #include "log/fg_log.h"
 #include "run/fg_run.h"
 
-static volatile sig_atomic_t stop_asked;
+static volatile sig_atomic_t stop_requested;
 
-static void on_signal(int signo)
+static void handle_signal(int signo)
 {
 	(void)signo;
-	stop_asked = 1;
+	stop_requested = 1;
 }
 
-static void catch_signals(void)
+static void install_signal_handlers(void)
 {
-	struct sigaction stop = { .sa_handler = on_signal };
+	struct sigaction stop = { .sa_handler = handle_signal };
 	struct sigaction ignore = { .sa_handler = SIG_IGN };
 
 	sigaction(SIGTERM, &stop, NULL);
@@ -37,12 +38,13 @@
 	nanosleep(&ts, NULL);
 }
 
-static void serve(struct fg_run *run, const struct fg_settings *settings)
+static void serve_until_stopped(struct fg_run *run,
+				const struct fg_settings *settings)
 {
 	bool stopping = false;
 
 	while (!fg_run_is_stopped(run)) {
-		if (stop_asked && !stopping) {
+		if (stop_requested && !stopping) {
 			stopping = true;
 			fg_log(FG_LOG_INFO, "entry", "stopping", NULL);
 			fg_run_stop(run);
@@ -52,13 +54,13 @@
 	}
 }
 
-static int start(const struct fg_settings *settings)
+static int run_instance(const struct fg_settings *settings)
 {
 	GError *error = NULL;
 	struct fg_run *run;
 
 	fg_log_open(settings->name, settings->log_level);
-	catch_signals();
+	install_signal_handlers();
 	run = fg_run_start(settings, &error);
 	if (run == NULL) {
 		fprintf(stderr, "fg-entry: %s\n", error->message);
@@ -67,14 +69,14 @@
 	}
 	fg_log(FG_LOG_INFO, "entry", "started", "http", settings->http, "rpc",
 	       settings->rpc, NULL);
-	serve(run, settings);
+	serve_until_stopped(run, settings);
 	fg_run_free(run);
 	fg_log(FG_LOG_INFO, "entry", "stopped", NULL);
 	fg_log_close();
 	return 0;
 }
 
-static int load_and_start(const char *path, bool check_only)
+static int load_and_run(const char *path, bool check_only)
 {
 	GError *error = NULL;
 	struct fg_settings *settings = fg_settings_load(path, &error);
@@ -88,14 +90,14 @@
 	if (check_only)
 		printf("%s: settings are valid\n", path);
 	else
-		rc = start(settings);
+		rc = run_instance(settings);
 	fg_settings_free(settings);
 	return rc;
 }
 
 int main(int argc, char **argv)
 {
-	static const struct fg_daemon daemon = { "fg-entry", load_and_start };
+	static const struct fg_daemon daemon = { "fg-entry", load_and_run };
 
 	return fg_daemon_main(&daemon, argc, argv);
 }
--- a/programs/fg-gateway.c
+++ b/programs/fg-gateway.c
@@ -1,8 +1,9 @@
 /*
- * fg-gateway - one instance on the users' platform: an event loop that serves
- * callers, with the platform's protocol.
+ * fg-gateway - a gateway instance on the users' platform. It serves callers
+ * from an event loop and uses the platform's protocol.
  *
- * Exit codes: 0 planned stop done, 1 could not start, 2 usage or settings.
+ * Exit codes: 0 after a planned stop, 1 if the instance could not start, 2 for
+ * wrong usage or invalid settings.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -11,20 +12,21 @@
 #include "fgp_wire.h"
 #include "gateway/fg_gateway.h"
 
-/* At twenty requests a second and instance all lines fit; under ten times the
- * load routine ones are dropped, at some 100 bytes a line and 25 KB/s. */
-static const struct fg_log_rate_limits log_bounds = {
+/* At 20 requests per second and instance no line is dropped. At ten times that
+ * load routine lines are dropped, and the log stays at about 25 KB/s, at some
+ * 100 bytes per line. */
+static const struct fg_log_rate_limits log_limits = {
 	.lines_per_s = 200,
 	.routine_per_s = 50,
 };
 
-static int start(struct fg_gwconf *conf, const char *path)
+static int run_instance(struct fg_gwconf *conf, const char *path)
 {
 	GError *error = NULL;
 	struct fg_gateway *gw;
 
 	fg_log_open(conf->name, conf->log_level);
-	fg_log_limit_rate(&log_bounds);
+	fg_log_limit_rate(&log_limits);
 	gw = fg_gateway_new(conf, path, &fgp_wire, &error);
 	if (gw == NULL) {
 		fprintf(stderr, "fg-gateway: %s\n", error->message);
@@ -37,7 +39,7 @@
 	return 0;
 }
 
-static int load_and_start(const char *path, bool check_only)
+static int load_and_run(const char *path, bool check_only)
 {
 	GError *error = NULL;
 	struct fg_gwconf *conf = fg_gwconf_load(path, &error);
@@ -48,7 +50,7 @@
 		return FG_EXIT_USAGE;
 	}
 	if (!check_only)
-		return start(conf, path);
+		return run_instance(conf, path);
 	printf("%s: settings are valid\n", path);
 	fg_gwconf_free(conf);
 	return 0;
@@ -56,7 +58,7 @@
 
 int main(int argc, char **argv)
 {
-	static const struct fg_daemon daemon = { "fg-gateway", load_and_start };
+	static const struct fg_daemon daemon = { "fg-gateway", load_and_run };
 
 	return fg_daemon_main(&daemon, argc, argv);
 }
