--- a/programs/fg-load/fl_check.c
+++ b/programs/fg-load/fl_check.c
@@ -4,20 +4,20 @@
 
 #include "base/fg_rand.h"
 
-static const char *text_of(json_t *obj, const char *name)
+static const char *get_string(json_t *obj, const char *name)
 {
 	const char *s = json_string_value(json_object_get(obj, name));
 
 	return s ? s : "";
 }
 
-static uint32_t number_of(json_t *obj, const char *name)
+static uint32_t get_number(json_t *obj, const char *name)
 {
 	return (uint32_t)json_integer_value(json_object_get(obj, name));
 }
 
-static char *expected_text(const struct fl_req *req, const char *version,
-			   uint32_t tokens)
+static char *make_expected_text(const struct fl_req *req, const char *version,
+				uint32_t tokens)
 {
 	GString *text = g_string_new(NULL);
 
@@ -32,20 +32,20 @@
 	return g_string_free(text, FALSE);
 }
 
-static bool generation_is_whole(const struct fl_conf *conf,
-				const struct fl_req *req, json_t *last,
+static bool is_whole_generation(const struct fl_conf *conf,
+				const struct fl_req *req, json_t *last_line,
 				const char *streamed)
 {
-	const char *version = text_of(last, "version");
-	json_t *text = json_object_get(last, "text");
+	const char *version = get_string(last_line, "version");
+	json_t *text = json_object_get(last_line, "text");
 	char *expected;
 	bool ok;
 
-	if (strcmp(text_of(last, "adapter"), req->adapter) != 0 ||
+	if (strcmp(get_string(last_line, "adapter"), req->adapter) != 0 ||
 	    (*req->version && strcmp(version, req->version) != 0) ||
-	    number_of(last, "tokens") != conf->max_tokens)
+	    get_number(last_line, "tokens") != conf->max_tokens)
 		return false;
-	expected = expected_text(req, version, conf->max_tokens);
+	expected = make_expected_text(req, version, conf->max_tokens);
 	ok = text || *streamed;
 	if (text)
 		ok = ok && g_strcmp0(json_string_value(text), expected) == 0;
@@ -55,35 +55,35 @@
 	return ok;
 }
 
-static bool filing_is_whole(const struct fl_req *req, json_t *last)
+static bool is_whole_filing(const struct fl_req *req, json_t *last_line)
 {
-	json_t *body = json_object_get(last, "body");
+	json_t *body = json_object_get(last_line, "body");
 	char receipt[9];
 
 	g_snprintf(receipt, sizeof(receipt), "%08x",
 		   (uint32_t)fg_hash_str(req->key));
-	return strcmp(text_of(body, "filed"), req->key) == 0 &&
-	       strcmp(text_of(body, "receipt"), receipt) == 0;
+	return strcmp(get_string(body, "filed"), req->key) == 0 &&
+	       strcmp(get_string(body, "receipt"), receipt) == 0;
 }
 
-static bool status_is_whole(const struct fl_req *req, json_t *last)
+static bool is_whole_status(const struct fl_req *req, json_t *last_line)
 {
-	json_t *body = json_object_get(last, "body");
+	json_t *body = json_object_get(last_line, "body");
 
-	return strcmp(text_of(body, "key"), req->key) == 0 &&
+	return strcmp(get_string(body, "key"), req->key) == 0 &&
 	       json_is_boolean(json_object_get(body, "filed"));
 }
 
 static bool is_whole(const struct fl_conf *conf, const struct fl_req *req,
-		     json_t *last, const char *streamed)
+		     json_t *last_line, const char *streamed)
 {
 	switch (req->cls) {
 	case FG_CLASS_FILING:
-		return filing_is_whole(req, last);
+		return is_whole_filing(req, last_line);
 	case FG_CLASS_STATUS:
-		return status_is_whole(req, last);
+		return is_whole_status(req, last_line);
 	default:
-		return generation_is_whole(conf, req, last, streamed);
+		return is_whole_generation(conf, req, last_line, streamed);
 	}
 }
 
@@ -97,53 +97,56 @@
 	return false;
 }
 
-/* Takes the pieces of a stream; returns its last line, or NULL. */
+/* Appends the pieces of a stream to `streamed`. Returns the last line, which
+ * has an outcome, or NULL. */
 static json_t *read_lines(const char *body, GString *streamed)
 {
 	char **lines = g_strsplit(body, "\n", 0);
-	json_t *last = NULL;
+	json_t *last_line = NULL;
 
-	for (char **line = lines; *line && !last; line++) {
+	for (char **line = lines; *line && !last_line; line++) {
 		json_t *obj = json_loads(*line, 0, NULL);
 
 		if (json_object_get(obj, "outcome"))
-			last = json_incref(obj);
+			last_line = json_incref(obj);
 		else
-			g_string_append(streamed, text_of(obj, "t"));
+			g_string_append(streamed, get_string(obj, "t"));
 		json_decref(obj);
 	}
 	g_strfreev(lines);
-	return last;
+	return last_line;
 }
 
 void fl_check_answer(const struct fl_conf *conf, const struct fl_req *req,
 		     const char *body, struct fl_answer *out)
 {
 	GString *streamed = g_string_new(NULL);
-	json_t *last = read_lines(body, streamed);
-	json_t *text = json_object_get(last, "text");
+	json_t *last_line = read_lines(body, streamed);
+	json_t *text = json_object_get(last_line, "text");
 
 	memset(out, 0, sizeof(*out));
 	out->outcome = FG_UNKNOWN;
-	out->readable = parse_outcome(text_of(last, "outcome"), &out->outcome);
-	out->reason = g_strdup(text_of(last, "reason"));
-	out->version = g_strdup(text_of(last, "version"));
-	out->address = g_strdup(text_of(last, "address"));
-	out->text = g_strdup(text ? text_of(last, "text") : streamed->str);
-	out->tokens = number_of(last, "tokens");
-	out->retry_after_ms = number_of(last, "retry_after_ms");
-	out->replayed = json_is_true(json_object_get(last, "replayed"));
-	out->whole = out->readable && out->outcome == FG_DONE &&
-		     is_whole(conf, req, last, streamed->str);
-	if (!fl_is_generation(req->cls) && json_object_get(last, "body")) {
-		char *dump =
-			json_dumps(json_object_get(last, "body"), JSON_COMPACT);
+	out->has_outcome =
+		parse_outcome(get_string(last_line, "outcome"), &out->outcome);
+	out->reason = g_strdup(get_string(last_line, "reason"));
+	out->version = g_strdup(get_string(last_line, "version"));
+	out->address = g_strdup(get_string(last_line, "address"));
+	out->text =
+		g_strdup(text ? get_string(last_line, "text") : streamed->str);
+	out->tokens = get_number(last_line, "tokens");
+	out->retry_after_ms = get_number(last_line, "retry_after_ms");
+	out->replayed = json_is_true(json_object_get(last_line, "replayed"));
+	out->whole = out->has_outcome && out->outcome == FG_DONE &&
+		     is_whole(conf, req, last_line, streamed->str);
+	if (!fl_is_generation(req->cls) && json_object_get(last_line, "body")) {
+		char *dump = json_dumps(json_object_get(last_line, "body"),
+					JSON_COMPACT);
 
 		g_free(out->text);
 		out->text = g_strdup(dump);
 		free(dump);
 	}
-	json_decref(last);
+	json_decref(last_line);
 	g_string_free(streamed, TRUE);
 }
 
--- a/programs/fg-load/fl_check.h
+++ b/programs/fg-load/fl_check.h
@@ -1,8 +1,8 @@
 /*
- * fl_check - is an answer whole, and the one that was asked for?
+ * fl_check - checks whether an answer is complete and correct.
  *
- * The stand-ins' answers follow from the request alone (docs/PROTOCOL.md,
- * sections 3 and 4), so that every token can be checked.
+ * The answers of the stand-ins depend only on the request (docs/PROTOCOL.md,
+ * sections 3 and 4). Every token can therefore be checked.
  */
 #ifndef FL_CHECK_H
 #define FL_CHECK_H
@@ -12,21 +12,23 @@
 
 #include "fl_plan.h"
 
-/* What the last line of an answer says. */
+/* The last line of an answer; an answer that is not streamed has only this
+ * line. The strings are owned and never NULL. */
 struct fl_answer {
-	bool readable; /* false: no such line */
+	bool has_outcome; /* false: no line with a known outcome */
 	enum fg_outcome outcome;
 	char *reason;
 	char *version;
 	char *text;
-	char *address; /* where to go instead; "" for nowhere */
+	char *address; /* instance to send the request to instead, or "" */
 	uint32_t tokens;
 	uint32_t retry_after_ms;
 	bool replayed;
-	bool whole; /* DONE, whole and from the right adapter and version */
+	bool whole; /* DONE, complete, and from the right adapter and version */
 };
 
-/* Reads the body of an answer. */
+/* Parses and checks the body of an answer. Without an outcome, out->outcome is
+ * FG_UNKNOWN. The caller releases *out with fl_answer_clear(). */
 void fl_check_answer(const struct fl_conf *conf, const struct fl_req *req,
 		     const char *body, struct fl_answer *out);
 void fl_answer_clear(struct fl_answer *answer);
--- a/programs/fg-load/fl_conf.c
+++ b/programs/fg-load/fl_conf.c
@@ -7,8 +7,8 @@
 #define WORKERS_MAX 512
 #define REQUESTS_MAX 10000000
 
-/* Option values before they are checked. */
-struct raw {
+/* Option values as parsed, not yet validated. */
+struct raw_options {
 	char **addresses;
 	char *adapters_file;
 	char *adapter_prefix;
@@ -35,7 +35,7 @@
 	char *experiment;
 };
 
-static const struct raw defaults = {
+static const struct raw_options defaults = {
 	.adapter_count = 24,
 	.requests = 100,
 	.zipf = 1.0,
@@ -47,13 +47,13 @@
 	.seed = 1,
 };
 
-static bool fail(const char *what, const char *value)
+static bool print_error(const char *subject, const char *value)
 {
-	fprintf(stderr, "fg-load: %s: %s\n", what, value);
+	fprintf(stderr, "fg-load: %s: %s\n", subject, value);
 	return false;
 }
 
-static bool parse_command_line(struct raw *raw, int argc, char **argv)
+static bool parse_command_line(struct raw_options *raw, int argc, char **argv)
 {
 	const GOptionEntry entries[] = {
 		{ "address", 'a', 0, G_OPTION_ARG_STRING_ARRAY, &raw->addresses,
@@ -109,8 +109,8 @@
 		{ 0 },
 	};
 	GOptionContext *ctx = g_option_context_new(NULL);
-	/* Parsing takes entries out of the array that the caller may own. */
-	char **left = g_memdup2(argv, ((size_t)argc + 1) * sizeof(*argv));
+	/* Parsing removes entries from the array, which the caller may own. */
+	char **remaining = g_memdup2(argv, ((size_t)argc + 1) * sizeof(*argv));
 	GError *error = NULL;
 	bool ok;
 
@@ -118,30 +118,38 @@
 		ctx, "Sends requests to entry instances and checks every "
 		     "answer.");
 	g_option_context_add_main_entries(ctx, entries, NULL);
-	ok = g_option_context_parse(ctx, &argc, &left, &error);
+	ok = g_option_context_parse(ctx, &argc, &remaining, &error);
 	if (!ok)
-		fail("options", error->message);
+		print_error("options", error->message);
 	g_clear_error(&error);
-	g_free(left);
+	g_free(remaining);
 	g_option_context_free(ctx);
 	return ok;
 }
 
-static bool check_ranges(const struct raw *raw)
+static bool check_ranges(const struct raw_options *raw)
 {
 	if (!raw->addresses)
-		return fail("--address", "needed");
+		return print_error("--address",
+				   "at least one entry instance is required");
 	if (raw->requests < 1 || raw->requests > REQUESTS_MAX)
-		return fail("--requests", "out of range");
+		return print_error(
+			"--requests",
+			"must be from 1 to " G_STRINGIFY(REQUESTS_MAX));
 	if (raw->workers < 1 || raw->workers > WORKERS_MAX)
-		return fail("--workers", "out of range");
+		return print_error(
+			"--workers",
+			"must be from 1 to " G_STRINGIFY(WORKERS_MAX));
 	if (raw->rate < 0 || raw->zipf < 0 || raw->show < 0 ||
 	    raw->shift_at < 0)
-		return fail("options", "negative");
+		return print_error("--rate, --zipf, --show and --shift-at",
+				   "must not be negative");
 	if (raw->attempts < 1 || raw->max_tokens < 1 ||
 	    raw->adapter_count < 1 || raw->deadline_ms < 1 ||
 	    raw->draft_deadline_ms < 1)
-		return fail("options", "must be at least 1");
+		return print_error("--attempts, --max-tokens, --adapter-count, "
+				   "--deadline-ms and --draft-deadline-ms",
+				   "must be at least 1");
 	return true;
 }
 
@@ -163,7 +171,7 @@
 			conf->mix[cls] = (uint32_t)strtoul(value, NULL, 10);
 	}
 	g_strfreev(parts);
-	return ok ? true : fail("--mix", text);
+	return ok ? true : print_error("--mix needs CLASS=N,... but has", text);
 }
 
 static bool parse_stream(struct fl_conf *conf, const char *text)
@@ -179,10 +187,13 @@
 			conf->streamed[cls] = true;
 	}
 	g_strfreev(parts);
-	return ok ? true : fail("--stream", text);
+	return ok ? true
+		  : print_error("--stream needs classes of models but has",
+				text);
 }
 
-static void number_adapters(struct fl_conf *conf, const struct raw *raw)
+static void generate_adapters(struct fl_conf *conf,
+			      const struct raw_options *raw)
 {
 	const char *prefix = raw->adapter_prefix ? raw->adapter_prefix : "a";
 	const char *version = raw->version ? raw->version : "";
@@ -196,8 +207,8 @@
 	}
 }
 
-static void take_adapter_lines(struct fl_conf *conf, char **lines,
-			       const char *version)
+static void parse_adapter_lines(struct fl_conf *conf, char **lines,
+				const char *version)
 {
 	guint n = g_strv_length(lines);
 
@@ -219,25 +230,27 @@
 	}
 }
 
-static bool read_adapters(struct fl_conf *conf, const struct raw *raw)
+static bool read_adapters(struct fl_conf *conf, const struct raw_options *raw)
 {
 	GError *error = NULL;
 	char *text = NULL;
 	char **lines;
 
 	if (!g_file_get_contents(raw->adapters_file, &text, NULL, &error)) {
-		fail("--adapters", error->message);
+		print_error("--adapters", error->message);
 		g_clear_error(&error);
 		return false;
 	}
 	lines = g_strsplit(text, "\n", 0);
-	take_adapter_lines(conf, lines, raw->version ? raw->version : "");
+	parse_adapter_lines(conf, lines, raw->version ? raw->version : "");
 	g_strfreev(lines);
 	g_free(text);
-	return conf->n_adapters > 0 ? true : fail("--adapters", "empty");
+	return conf->n_adapters > 0
+		       ? true
+		       : print_error("--adapters", "the file has no adapter");
 }
 
-static char *take_string(char **s, const char *fallback)
+static char *take_or_default(char **s, const char *fallback)
 {
 	char *taken = *s ? *s : g_strdup(fallback);
 
@@ -245,7 +258,7 @@
 	return taken;
 }
 
-static bool fill(struct fl_conf *conf, struct raw *raw)
+static bool convert_options(struct fl_conf *conf, struct raw_options *raw)
 {
 	const char *services = raw->services ? raw->services : "orders";
 
@@ -266,20 +279,20 @@
 	for (int i = 0; i < FG_CLASS_COUNT; i++)
 		conf->deadline_ms[i] = (uint32_t)raw->deadline_ms;
 	conf->deadline_ms[FG_CLASS_DRAFT] = (uint32_t)raw->draft_deadline_ms;
-	conf->caller = take_string(&raw->caller, "load");
-	conf->history = take_string(&raw->history, "");
-	conf->summary = take_string(&raw->summary, "");
+	conf->caller = take_or_default(&raw->caller, "load");
+	conf->history = take_or_default(&raw->history, "");
+	conf->summary = take_or_default(&raw->summary, "");
 	if (raw->adapters_file ? !read_adapters(conf, raw) : false)
 		return false;
 	if (!raw->adapters_file)
-		number_adapters(conf, raw);
+		generate_adapters(conf, raw);
 	return parse_mix(conf, raw->mix ? raw->mix
 					: "draft=40,interactive=30,status=20,"
 					  "filing=10") &&
 	       parse_stream(conf, raw->stream ? raw->stream : "draft");
 }
 
-static void clear_raw(struct raw *raw)
+static void raw_options_clear(struct raw_options *raw)
 {
 	g_strfreev(raw->addresses);
 	g_free(raw->adapters_file);
@@ -294,7 +307,7 @@
 	g_free(raw->experiment);
 }
 
-/* Name of the experiment's file on the command line, or NULL. */
+/* Returns the path of the experiment file on the command line, or NULL. */
 static const char *find_experiment(int argc, char **argv)
 {
 	for (int i = 1; i < argc; i++) {
@@ -306,8 +319,8 @@
 	return NULL;
 }
 
-/* Parses the options of the experiment's file. */
-static bool parse_experiment(struct fl_conf *conf, struct raw *raw,
+/* Loads the experiment file and parses its options. */
+static bool parse_experiment(struct fl_conf *conf, struct raw_options *raw,
 			     const char *path)
 {
 	char *line;
@@ -324,7 +337,7 @@
 	if (ok)
 		ok = parse_command_line(raw, argc, argv);
 	else
-		fail(path, error->message);
+		print_error(path, error->message);
 	g_clear_error(&error);
 	g_strfreev(argv);
 	g_free(line);
@@ -334,15 +347,15 @@
 bool fl_conf_parse(struct fl_conf *conf, int argc, char **argv)
 {
 	const char *experiment = find_experiment(argc, argv);
-	struct raw raw = defaults;
+	struct raw_options raw = defaults;
 	bool ok = true;
 
 	memset(conf, 0, sizeof(*conf));
 	if (experiment)
 		ok = parse_experiment(conf, &raw, experiment);
 	ok = ok && parse_command_line(&raw, argc, argv) && check_ranges(&raw) &&
-	     fill(conf, &raw);
-	clear_raw(&raw);
+	     convert_options(conf, &raw);
+	raw_options_clear(&raw);
 	return ok;
 }
 
--- a/programs/fg-load/fl_experiment.c
+++ b/programs/fg-load/fl_experiment.c
@@ -94,7 +94,7 @@
 	bool stop;
 };
 
-/* Sleeps until the time; returns false when the faults are to stop. */
+/* Sleeps until time t. Returns false if fl_faults_stop() was called. */
 static bool wait_until(struct fl_faults *faults, fg_ms t)
 {
 	fg_ms end = fg_clock_wall() + (t - fg_clock_now());
@@ -112,7 +112,7 @@
 	return !stop;
 }
 
-static void inject(CURL *curl, const struct fl_fault *fault)
+static void inject_fault(CURL *curl, const struct fl_fault *fault)
 {
 	const struct fl_http_headers headers = { 0 };
 	struct fl_http_result res = { 0 };
@@ -133,7 +133,7 @@
 	for (uint32_t i = 0; i < exp->faults_count; i++) {
 		if (!wait_until(faults, faults->begin + exp->faults[i].at_ms))
 			break;
-		inject(curl, &exp->faults[i]);
+		inject_fault(curl, &exp->faults[i]);
 	}
 	curl_easy_cleanup(curl);
 	return NULL;
--- a/programs/fg-load/fl_experiment.h
+++ b/programs/fg-load/fl_experiment.h
@@ -1,5 +1,6 @@
 /*
- * fl_experiment - an experiment read from YAML: load, faults, what to plot.
+ * fl_experiment - an experiment from a YAML file: load options, faults to
+ * inject and a plot.
  *
  *   options: "--requests 600 --rate 40 --zipf 1.1 --shift-at 300"
  *   engines:
@@ -12,8 +13,8 @@
  *   plot: stalls.svg
  *   bucket_ms: 500
  *
- * All keys but `options` may be left out. Options of the command line go
- * before those of the file.
+ * All keys except `options` are optional. Options on the command line override
+ * those in the file. A fault is a POST of `body` to the control address.
  */
 #ifndef FL_EXPERIMENT_H
 #define FL_EXPERIMENT_H
@@ -31,7 +32,7 @@
 
 struct fl_engine {
 	char *control;
-	uint32_t batch;
+	uint32_t batch; /* largest number of concurrent runs */
 };
 
 struct fl_experiment {
@@ -44,15 +45,16 @@
 	uint32_t bucket_ms;
 };
 
-/* NULL with a message on stderr on error. */
+/* Returns NULL after an error message. */
 struct fl_experiment *fl_experiment_load(const char *path);
 void fl_experiment_free(struct fl_experiment *exp);
 
-/* Carries out the faults at their times in a thread of its own. */
+/* Starts a thread that injects the faults in the order of the file, each at
+ * at_ms after `begin`. exp is borrowed. */
 struct fl_faults;
 struct fl_faults *fl_faults_start(const struct fl_experiment *exp, fg_ms begin);
 
-/* Leaves out the faults that are still to come. */
+/* Cancels the remaining faults, waits for the thread and frees the object. */
 void fl_faults_stop(struct fl_faults *faults);
 
 #endif
--- a/programs/fg-load/fl_http.c
+++ b/programs/fg-load/fl_http.c
@@ -2,7 +2,7 @@
 
 #define CONNECT_TIMEOUT_MS 1000
 
-static size_t take_data(char *data, size_t size, size_t n, void *arg)
+static size_t append_data(char *data, size_t size, size_t n, void *arg)
 {
 	g_string_append_len(arg, data, (gssize)(size * n));
 	return size * n;
@@ -33,7 +33,7 @@
 	curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, take_data);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_data);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, res->body);
 	code = curl_easy_perform(curl);
 	if (code == CURLE_OK)
@@ -64,9 +64,9 @@
 	curl_easy_setopt(curl, CURLOPT_HTTPHEADER, list);
 	curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body);
 	/*
-	 * On a kept connection that closes without an answer libcurl sends
-	 * the request once more by itself, whatever its method; on a fresh
-	 * one it does not.
+	 * If a reused connection is closed without an answer, libcurl sends
+	 * the request again, even a POST. A fresh connection prevents this
+	 * hidden retry.
 	 */
 	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, 1L);
 	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, 1L);
--- a/programs/fg-load/fl_http.h
+++ b/programs/fg-load/fl_http.h
@@ -1,5 +1,5 @@
 /*
- * fl_http - requests to an entry instance through libcurl.
+ * fl_http - HTTP requests through libcurl.
  */
 #ifndef FL_HTTP_H
 #define FL_HTTP_H
@@ -10,8 +10,8 @@
 #include <stdint.h>
 
 struct fl_http_result {
-	uint32_t status; /* 0: no whole answer */
-	bool not_sent;	 /* with status 0: nothing reached the other side */
+	uint32_t status; /* HTTP status; 0: no complete answer */
+	bool not_sent;	 /* with status 0: the connection failed */
 	GString *body;
 };
 
@@ -21,6 +21,9 @@
 	const char *key; /* NULL for none */
 };
 
+/* Both calls block until the answer is complete or timeout_ms has passed. The
+ * caller releases *res with fl_http_result_clear(). Headers that are NULL are
+ * omitted. */
 void fl_http_get(CURL *curl, const char *addr, const char *path,
 		 uint32_t timeout_ms, struct fl_http_result *res);
 void fl_http_post(CURL *curl, const char *addr, const char *path,
--- a/programs/fg-load/fl_main.c
+++ b/programs/fg-load/fl_main.c
@@ -1,9 +1,9 @@
 /*
  * fg-load - sends requests to entry instances and checks every answer.
  *
- * One thread plans the requests and gives them out when they are due, workers
- * send them. Exits with 0 when no answer that was DONE lacked anything, with
- * --all-done only when every request was answered so.
+ * The main thread plans the requests and queues them when they are due; worker
+ * threads send them. The exit status is 0 if every answer DONE was whole. With
+ * --all-done it is 0 only if every request was DONE and whole.
  */
 #include <pthread.h>
 #include <stdio.h>
@@ -18,7 +18,7 @@
 	pthread_t thread;
 };
 
-static void *work(void *arg)
+static void *run_worker(void *arg)
 {
 	struct worker *worker = arg;
 	CURL *curl = curl_easy_init();
@@ -42,8 +42,9 @@
 		g_usleep((gulong)left * 1000);
 }
 
-/* Without a rate `due` stays 0 and counts from when a worker is free. */
-static void give_out(const struct fl_conf *conf, struct fl_queue *queue)
+/* Without a rate `due` stays 0, and the worker that takes the request sets it.
+ */
+static void enqueue_requests(const struct fl_conf *conf, struct fl_queue *queue)
 {
 	struct fl_plan *plan = fl_plan_new(conf);
 	fg_ms begin = fg_clock_now();
@@ -61,7 +62,7 @@
 	fl_plan_free(plan);
 }
 
-static void run(struct fl_sender *sender)
+static void send_all(struct fl_sender *sender)
 {
 	const struct fl_conf *conf = sender->conf;
 	struct worker *workers = g_new0(struct worker, conf->workers);
@@ -70,9 +71,10 @@
 	for (uint32_t i = 0; i < conf->workers; i++) {
 		workers[i].sender = sender;
 		workers[i].queue = queue;
-		pthread_create(&workers[i].thread, NULL, work, &workers[i]);
+		pthread_create(&workers[i].thread, NULL, run_worker,
+			       &workers[i]);
 	}
-	give_out(conf, queue);
+	enqueue_requests(conf, queue);
 	fl_queue_close(queue);
 	for (uint32_t i = 0; i < conf->workers; i++)
 		pthread_join(workers[i].thread, NULL);
@@ -80,7 +82,8 @@
 	g_free(workers);
 }
 
-/* Draws and prints what the engines' logs say; returns false on error. */
+/* Prints and plots waiting times and batch fill. Returns false if the plot
+ * cannot be written. */
 static bool report_engines(const struct fl_conf *conf, struct fl_stalls *stalls,
 			   fg_ms begin, fg_ms end)
 {
@@ -103,7 +106,8 @@
 	return ok;
 }
 
-/* Runs with the faults of the experiment; returns false on error. */
+/* Sends the requests while the faults are injected, then reports on the
+ * engines. Returns false if the plot cannot be written. */
 static bool run_experiment(struct fl_sender *sender, fg_ms begin)
 {
 	const struct fl_conf *conf = sender->conf;
@@ -111,7 +115,7 @@
 	bool ok;
 
 	sender->stalls = fl_stalls_new(conf->experiment);
-	run(sender);
+	send_all(sender);
 	fl_faults_stop(faults);
 	ok = report_engines(conf, sender->stalls, begin, fg_clock_now());
 	fl_stalls_free(sender->stalls);
@@ -122,7 +126,7 @@
 {
 	struct fl_conf conf;
 	struct fl_sender sender = { .conf = &conf };
-	uint32_t broken = 0;
+	uint32_t n_failed = 0;
 	fg_ms begin;
 	bool ok;
 
@@ -138,13 +142,13 @@
 		if (conf.experiment)
 			ok = run_experiment(&sender, begin);
 		else
-			run(&sender);
-		broken = fl_record_summary(sender.record,
-					   fg_clock_now() - begin);
+			send_all(&sender);
+		n_failed = fl_record_summary(sender.record,
+					     fg_clock_now() - begin);
 		fl_addr_free(sender.addr);
 		fl_record_free(sender.record);
 	}
 	fl_conf_clear(&conf);
 	curl_global_cleanup();
-	return ok && broken == 0 ? 0 : 1;
+	return ok && n_failed == 0 ? 0 : 1;
 }
--- a/programs/fg-load/fl_plan.c
+++ b/programs/fg-load/fl_plan.c
@@ -7,23 +7,23 @@
 struct fl_plan {
 	const struct fl_conf *conf;
 	struct fg_rand rand;
-	double *cumulated; /* share of the ranks up to this one */
-	uint32_t *by_rank; /* adapter at a rank of popularity */
-	uint32_t next;
-	uint32_t filings;
+	double *cumulative_share; /* of the ranks up to each rank */
+	uint32_t *by_rank;	  /* adapter at each popularity rank */
+	uint32_t n_planned;	  /* requests planned so far */
+	uint32_t n_filings;	  /* filings planned so far */
 };
 
-static void sum_shares(struct fl_plan *plan)
+static void init_popularity(struct fl_plan *plan)
 {
 	uint32_t n = plan->conf->n_adapters;
 	double sum = 0;
 
 	for (uint32_t i = 0; i < n; i++) {
 		sum += 1 / pow(i + 1, plan->conf->zipf);
-		plan->cumulated[i] = sum;
+		plan->cumulative_share[i] = sum;
 	}
 	for (uint32_t i = 0; i < n; i++)
-		plan->cumulated[i] /= sum;
+		plan->cumulative_share[i] /= sum;
 }
 
 struct fl_plan *fl_plan_new(const struct fl_conf *conf)
@@ -31,10 +31,10 @@
 	struct fl_plan *plan = g_new0(struct fl_plan, 1);
 
 	plan->conf = conf;
-	plan->cumulated = g_new0(double, conf->n_adapters);
+	plan->cumulative_share = g_new0(double, conf->n_adapters);
 	plan->by_rank = g_new0(uint32_t, conf->n_adapters);
 	fg_rand_seed(&plan->rand, conf->seed);
-	sum_shares(plan);
+	init_popularity(plan);
 	for (uint32_t i = 0; i < conf->n_adapters; i++)
 		plan->by_rank[i] = i;
 	return plan;
@@ -42,13 +42,13 @@
 
 void fl_plan_free(struct fl_plan *plan)
 {
-	g_free(plan->cumulated);
+	g_free(plan->cumulative_share);
 	g_free(plan->by_rank);
 	g_free(plan);
 }
 
-/* Gives every adapter a new rank. */
-static void shift_popularity(struct fl_plan *plan)
+/* Assigns random popularity ranks to the adapters (Fisher-Yates shuffle). */
+static void shuffle_popularity(struct fl_plan *plan)
 {
 	for (uint32_t i = plan->conf->n_adapters - 1; i > 0; i--) {
 		uint32_t j = (uint32_t)fg_rand_below(&plan->rand, i + 1);
@@ -68,7 +68,7 @@
 	while (low < high) {
 		uint32_t mid = low + (high - low) / 2;
 
-		if (plan->cumulated[mid] < u)
+		if (plan->cumulative_share[mid] < u)
 			low = mid + 1;
 		else
 			high = mid;
@@ -105,9 +105,9 @@
 	if (cls == FG_CLASS_DRAFT)
 		return g_strdup_printf("Draft the menu of week %u from the "
 				       "harvest notice: %u kg of %s.",
-				       plan->next % 52 + 1, kg, crop);
+				       plan->n_planned % 52 + 1, kg, crop);
 	return g_strdup_printf("Summarise delivery manifest %u: %u kg of %s.",
-			       plan->next, kg, crop);
+			       plan->n_planned, kg, crop);
 }
 
 static char *make_key(const struct fl_plan *plan, uint32_t filing)
@@ -132,10 +132,10 @@
 
 	req->service = plan->conf->services[fg_rand_below(&plan->rand, n)];
 	if (req->cls == FG_CLASS_FILING)
-		filing = ++plan->filings;
+		filing = ++plan->n_filings;
 	else
-		filing =
-			(uint32_t)fg_rand_below(&plan->rand, plan->filings + 1);
+		filing = (uint32_t)fg_rand_below(&plan->rand,
+						 plan->n_filings + 1);
 	req->key = make_key(plan, filing);
 }
 
@@ -148,10 +148,10 @@
 {
 	struct fl_req *req = g_new0(struct fl_req, 1);
 
-	plan->next++;
-	if (plan->conf->shift_at > 0 && plan->next == plan->conf->shift_at)
-		shift_popularity(plan);
-	req->index = plan->next;
+	plan->n_planned++;
+	if (plan->conf->shift_at > 0 && plan->n_planned == plan->conf->shift_at)
+		shuffle_popularity(plan);
+	req->index = plan->n_planned;
 	req->cls = pick_class(plan);
 	req->adapter = "";
 	req->version = "";
--- a/programs/fg-load/fl_plot.c
+++ b/programs/fg-load/fl_plot.c
@@ -17,7 +17,7 @@
 #define COLOR_P50 "#2471a3"
 #define COLOR_FILL "#1e8449"
 
-/* A diagram with a time axis below and a value axis at its left. */
+/* A diagram with a horizontal time axis and a vertical value axis. */
 struct panel {
 	FILE *out;
 	double top_px;
@@ -25,12 +25,12 @@
 	double end_ms;
 };
 
-static double x_of(const struct panel *p, double t_ms)
+static double time_to_x(const struct panel *p, double t_ms)
 {
 	return LEFT_PX + (WIDTH_PX - LEFT_PX - RIGHT_PX) * t_ms / p->end_ms;
 }
 
-static double y_of(const struct panel *p, double value)
+static double value_to_y(const struct panel *p, double value)
 {
 	return p->top_px + PANEL_PX * (1 - value / p->max);
 }
@@ -66,13 +66,13 @@
 		double value = p->max * i / GRID_LINES;
 		double t_ms = p->end_ms * i / GRID_LINES;
 
-		draw_line(p->out, LEFT_PX, y_of(p, value), WIDTH_PX - RIGHT_PX,
-			  y_of(p, value), "#dddddd");
+		draw_line(p->out, LEFT_PX, value_to_y(p, value),
+			  WIDTH_PX - RIGHT_PX, value_to_y(p, value), "#dddddd");
 		g_snprintf(label, sizeof(label), "%.0f %s", value, unit);
-		draw_text(p->out, LEFT_PX - 6, y_of(p, value) + 4, "end",
+		draw_text(p->out, LEFT_PX - 6, value_to_y(p, value) + 4, "end",
 			  label);
 		g_snprintf(label, sizeof(label), "%.1f s", t_ms / 1000);
-		draw_text(p->out, x_of(p, t_ms), bottom_px + 16, "middle",
+		draw_text(p->out, time_to_x(p, t_ms), bottom_px + 16, "middle",
 			  label);
 	}
 }
@@ -102,15 +102,15 @@
 		color);
 	for (uint32_t i = 0; i < n; i++)
 		fprintf(p->out, "%.1f,%.1f ",
-			x_of(p, p->end_ms * (i + 0.5) / n),
-			y_of(p, value(&buckets[i])));
+			time_to_x(p, p->end_ms * (i + 0.5) / n),
+			value_to_y(p, value(&buckets[i])));
 	fprintf(p->out, "\"/>\n");
 }
 
 static void draw_faults(const struct panel *p, const struct fl_experiment *exp)
 {
 	for (uint32_t i = 0; i < exp->faults_count; i++) {
-		double x = x_of(p, exp->faults[i].at_ms);
+		double x = time_to_x(p, exp->faults[i].at_ms);
 
 		if (exp->faults[i].at_ms < p->end_ms)
 			draw_line(p->out, x, p->top_px, x, p->top_px + PANEL_PX,
@@ -118,7 +118,7 @@
 	}
 }
 
-static double largest_wait(const struct fl_bucket *buckets, uint32_t n)
+static double find_largest_wait(const struct fl_bucket *buckets, uint32_t n)
 {
 	double max = 1;
 
@@ -127,13 +127,13 @@
 	return max;
 }
 
-static void draw(FILE *out, const struct fl_experiment *exp,
-		 const struct fl_bucket *buckets, uint32_t n)
+static void draw_svg(FILE *out, const struct fl_experiment *exp,
+		     const struct fl_bucket *buckets, uint32_t n)
 {
 	struct panel p = {
 		.out = out,
 		.top_px = TOP_PX,
-		.max = largest_wait(buckets, n),
+		.max = find_largest_wait(buckets, n),
 		.end_ms = (double)n * exp->bucket_ms,
 	};
 
@@ -166,6 +166,6 @@
 		fprintf(stderr, "%s: %s\n", exp->plot, strerror(errno));
 		return false;
 	}
-	draw(out, exp, buckets, n);
+	draw_svg(out, exp, buckets, n);
 	return fclose(out) == 0;
 }
--- a/programs/fg-load/fl_record.c
+++ b/programs/fg-load/fl_record.c
@@ -12,13 +12,13 @@
 	const struct fl_conf *conf;
 	pthread_mutex_t lock;
 	FILE *history;
-	GHashTable *outcomes; /* "class OUTCOME reason" to a count */
+	GHashTable *outcomes; /* "class OUTCOME reason" -> count */
 	GArray *latency_ms[FG_CLASS_COUNT]; /* of answers that were DONE */
-	uint32_t shown[FG_CLASS_COUNT];
-	uint32_t done;
-	uint32_t whole;
-	uint32_t final;
-	uint32_t attempts;
+	uint32_t shown[FG_CLASS_COUNT];	    /* printed answers */
+	uint32_t done;			    /* requests that were DONE */
+	uint32_t whole;			    /* requests DONE and whole */
+	uint32_t final;			    /* requests with a final answer */
+	uint32_t attempts;		    /* of all requests */
 };
 
 struct fl_record *fl_record_new(const struct fl_conf *conf)
@@ -55,7 +55,7 @@
 	g_free(r);
 }
 
-/* Steals fields. */
+/* Takes ownership of the reference to `fields`. */
 static void write_event(struct fl_record *r, const char *ev, json_t *fields)
 {
 	json_t *event;
@@ -98,10 +98,12 @@
 			      answer->version));
 }
 
-static void show(const struct fl_req *req, const struct fl_answer *answer,
-		 const char *entry, uint32_t latency_ms)
+static void print_answer(const struct fl_req *req,
+			 const struct fl_answer *answer, const char *entry,
+			 uint32_t latency_ms)
 {
-	const char *more = strlen(answer->text) > SHOWN_TEXT_BYTES ? "..." : "";
+	const char *ellipsis =
+		strlen(answer->text) > SHOWN_TEXT_BYTES ? "..." : "";
 
 	printf("%s via %s in %u ms: %s%s%s\n", fg_class_name(req->cls), entry,
 	       latency_ms, fg_outcome_name(answer->outcome),
@@ -110,7 +112,7 @@
 		printf("  asked %s: %s\n", req->adapter, req->prompt);
 	else
 		printf("  asked %s for %s\n", req->service, req->key);
-	printf("  answer: %.*s%s\n", SHOWN_TEXT_BYTES, answer->text, more);
+	printf("  answer: %.*s%s\n", SHOWN_TEXT_BYTES, answer->text, ellipsis);
 }
 
 static void count_outcome(struct fl_record *r, const struct fl_req *req,
@@ -140,7 +142,7 @@
 	}
 	if (r->shown[req->cls] < r->conf->show) {
 		r->shown[req->cls]++;
-		show(req, answer, entry, latency_ms);
+		print_answer(req, answer, entry, latency_ms);
 	}
 	pthread_mutex_unlock(&r->lock);
 }
@@ -153,7 +155,7 @@
 	return x < y ? -1 : x > y;
 }
 
-static uint32_t percentile(const GArray *sorted, uint32_t percent)
+static uint32_t get_percentile(const GArray *sorted, uint32_t percent)
 {
 	guint at;
 
@@ -163,16 +165,16 @@
 	return g_array_index(sorted, uint32_t, at > 0 ? at - 1 : 0);
 }
 
-static json_t *latency_json(const GArray *sorted)
+static json_t *make_latency_json(const GArray *sorted)
 {
 	return json_pack("{s:i, s:i, s:i, s:i, s:i}", "count", (int)sorted->len,
-			 "p50_ms", (int)percentile(sorted, 50), "p95_ms",
-			 (int)percentile(sorted, 95), "p99_ms",
-			 (int)percentile(sorted, 99), "max_ms",
-			 (int)percentile(sorted, 100));
+			 "p50_ms", (int)get_percentile(sorted, 50), "p95_ms",
+			 (int)get_percentile(sorted, 95), "p99_ms",
+			 (int)get_percentile(sorted, 99), "max_ms",
+			 (int)get_percentile(sorted, 100));
 }
 
-static json_t *summary_json(struct fl_record *r, fg_ms duration_ms)
+static json_t *make_summary_json(struct fl_record *r, fg_ms duration_ms)
 {
 	double seconds =
 		duration_ms > 0 ? (double)duration_ms / FG_MS_PER_S : 1;
@@ -189,7 +191,7 @@
 	for (int i = 0; i < FG_CLASS_COUNT; i++) {
 		g_array_sort(r->latency_ms[i], compare_u32);
 		json_object_set_new(latency, fg_class_name((enum fg_class)i),
-				    latency_json(r->latency_ms[i]));
+				    make_latency_json(r->latency_ms[i]));
 	}
 	return json_pack("{s:i, s:i, s:i, s:i, s:I, s:f, s:o, s:o}", "requests",
 			 (int)r->final, "attempts", (int)r->attempts, "done",
@@ -226,14 +228,14 @@
 			continue;
 		printf("  %-12s %6u %8u %8u %8u %8u\n",
 		       fg_class_name((enum fg_class)i), sorted->len,
-		       percentile(sorted, 50), percentile(sorted, 95),
-		       percentile(sorted, 99), percentile(sorted, 100));
+		       get_percentile(sorted, 50), get_percentile(sorted, 95),
+		       get_percentile(sorted, 99), get_percentile(sorted, 100));
 	}
 }
 
 uint32_t fl_record_summary(struct fl_record *r, fg_ms duration_ms)
 {
-	json_t *summary = summary_json(r, duration_ms);
+	json_t *summary = make_summary_json(r, duration_ms);
 
 	printf("%u requests in %u attempts and %.1f s: %u done, %u whole\n",
 	       r->final, r->attempts, (double)duration_ms / FG_MS_PER_S,
@@ -242,7 +244,8 @@
 	print_latency(r);
 	if (*r->conf->summary &&
 	    json_dump_file(summary, r->conf->summary, JSON_INDENT(2)) != 0)
-		fprintf(stderr, "%s: cannot write\n", r->conf->summary);
+		fprintf(stderr, "%s: cannot write the summary\n",
+			r->conf->summary);
 	json_decref(summary);
 	return (r->conf->all_done ? r->final : r->done) - r->whole;
 }
--- a/programs/fg-load/fl_send.c
+++ b/programs/fg-load/fl_send.c
@@ -5,25 +5,25 @@
 
 #include "fl_http.h"
 
-#define EXTRA_WAIT_MS 2000 /* beyond the deadline, for the answer's way */
+#define EXTRA_WAIT_MS 2000 /* after the deadline, for the answer to arrive */
 #define RETRY_WAIT_MAX_MS 2000
 #define RECONNECT_WAIT_MS 50
 
-/* One request on its way through its attempts. */
-struct sending {
+/* State of a request across its attempts. */
+struct send_state {
 	struct fl_sender *sender;
 	CURL *curl;
 	const struct fl_req *req;
 	fg_ms deadline;
 	uint32_t attempt;
-	char *addr; /* of the current attempt */
-	char *hint; /* address that the last answer named, or NULL */
+	char *addr;	     /* of the current attempt */
+	char *redirect_addr; /* address given in the last answer, or NULL */
 	struct fl_answer answer;
 	bool not_sent;
 	uint32_t http_status;
 };
 
-static char *make_body(const struct sending *s, uint32_t left_ms)
+static char *make_body(const struct send_state *s, uint32_t left_ms)
 {
 	const struct fl_conf *conf = s->sender->conf;
 	const struct fl_req *req = s->req;
@@ -51,7 +51,7 @@
 	return text;
 }
 
-static const char *path_of(enum fg_class cls)
+static const char *get_path(enum fg_class cls)
 {
 	switch (cls) {
 	case FG_CLASS_FILING:
@@ -63,7 +63,8 @@
 	}
 }
 
-static void post(struct sending *s, const char *tag, uint32_t left_ms)
+static void post_request(struct send_state *s, const char *tag,
+			 uint32_t left_ms)
 {
 	const struct fl_req *req = s->req;
 	struct fl_http_headers headers = {
@@ -74,7 +75,7 @@
 	struct fl_http_result res = { 0 };
 	char *body = make_body(s, left_ms);
 
-	fl_http_post(s->curl, s->addr, path_of(req->cls), &headers, body,
+	fl_http_post(s->curl, s->addr, get_path(req->cls), &headers, body,
 		     left_ms + EXTRA_WAIT_MS, &res);
 	s->http_status = res.status;
 	s->not_sent = res.not_sent;
@@ -84,53 +85,55 @@
 	g_free(body);
 }
 
-/* Without a whole answer the caller knows no more than this. */
-static void judge_lost(struct sending *s)
+/* If the answer is incomplete, the outcome is NOT_RUN if the request was not
+ * sent and UNKNOWN otherwise. */
+static void handle_incomplete_answer(struct send_state *s)
 {
-	if (s->answer.readable)
+	if (s->answer.has_outcome)
 		return;
 	s->answer.outcome = s->not_sent ? FG_NOT_RUN : FG_UNKNOWN;
 	g_free(s->answer.reason);
 	s->answer.reason =
 		g_strdup(s->not_sent ? "unreachable" : "connection_lost");
-	fl_addr_failed(s->sender->addr, s->addr);
+	fl_addr_mark_failed(s->sender->addr, s->addr);
 }
 
-/* Tag of a request without the attempt. */
-static char *make_name(const struct sending *s)
+/* Returns the tag of the request without the number of the attempt. */
+static char *make_base_tag(const struct send_state *s)
 {
 	return g_strdup_printf("%s-%" G_GUINT64_FORMAT "-%u",
 			       s->sender->conf->caller, s->sender->conf->seed,
 			       s->req->index);
 }
 
-static void run_attempt(struct sending *s, const char *name, uint32_t left_ms)
+static void run_attempt(struct send_state *s, const char *base_tag,
+			uint32_t left_ms)
 {
 	struct fl_sender *sender = s->sender;
-	char *tag = g_strdup_printf("%s.%u", name, s->attempt);
+	char *tag = g_strdup_printf("%s.%u", base_tag, s->attempt);
 
 	g_free(s->addr);
-	s->addr = s->hint;
-	s->hint = NULL;
+	s->addr = s->redirect_addr;
+	s->redirect_addr = NULL;
 	if (!s->addr)
 		s->addr =
 			fl_addr_pick(sender->addr, s->curl, s->req, s->attempt);
 	fl_record_invoke(sender->record, s->req, tag, s->addr);
-	post(s, tag, left_ms);
-	judge_lost(s);
+	post_request(s, tag, left_ms);
+	handle_incomplete_answer(s);
 	fl_record_return(sender->record, s->req, tag, &s->answer);
 	g_free(tag);
 }
 
-/* Says whether to send it again, and after which wait. */
-static bool may_repeat(const struct sending *s, uint32_t *wait_ms)
+/* Returns true if the request may be sent again after *wait_ms. */
+static bool may_retry(const struct send_state *s, uint32_t *wait_ms)
 {
 	const struct fl_answer *answer = &s->answer;
 
 	*wait_ms = RECONNECT_WAIT_MS;
 	if (s->not_sent)
 		return true;
-	if (!answer->readable)
+	if (!answer->has_outcome)
 		return s->req->cls != FG_CLASS_FILING;
 	if (answer->outcome != FG_NOT_RUN)
 		return false;
@@ -143,20 +146,20 @@
 	return true;
 }
 
-static fg_ms left_of(const struct sending *s)
+static fg_ms get_time_left(const struct send_state *s)
 {
 	return s->deadline - fg_clock_now();
 }
 
-static bool prepare_next(struct sending *s)
+static bool prepare_retry(struct send_state *s)
 {
 	uint32_t wait_ms;
 
 	if (s->attempt >= s->sender->conf->attempts ||
-	    !may_repeat(s, &wait_ms) || left_of(s) <= wait_ms)
+	    !may_retry(s, &wait_ms) || get_time_left(s) <= wait_ms)
 		return false;
 	if (*s->answer.address)
-		s->hint = g_strdup(s->answer.address);
+		s->redirect_addr = g_strdup(s->answer.address);
 	fl_answer_clear(&s->answer);
 	g_usleep((gulong)wait_ms * 1000);
 	return true;
@@ -164,26 +167,26 @@
 
 void fl_send(struct fl_sender *sender, CURL *curl, const struct fl_req *req)
 {
-	struct sending s = {
+	struct send_state s = {
 		.sender = sender,
 		.curl = curl,
 		.req = req,
 		.deadline = req->due + sender->conf->deadline_ms[req->cls],
 	};
-	char *name = make_name(&s);
+	char *base_tag = make_base_tag(&s);
 	fg_ms left_ms;
 
 	if (sender->stalls && fl_is_generation(req->cls))
-		fl_stalls_request(sender->stalls, name, req->due);
+		fl_stalls_request(sender->stalls, base_tag, req->due);
 	do {
-		left_ms = left_of(&s);
-		run_attempt(&s, name, left_ms > 1 ? (uint32_t)left_ms : 1);
+		left_ms = get_time_left(&s);
+		run_attempt(&s, base_tag, left_ms > 1 ? (uint32_t)left_ms : 1);
 		s.attempt++;
-	} while (prepare_next(&s));
+	} while (prepare_retry(&s));
 	fl_record_final(sender->record, req, &s.answer, s.addr, s.attempt,
 			(uint32_t)(fg_clock_now() - req->due));
 	fl_answer_clear(&s.answer);
-	g_free(name);
+	g_free(base_tag);
 	g_free(s.addr);
-	g_free(s.hint);
+	g_free(s.redirect_addr);
 }
--- a/programs/fg-load/fl_send.h
+++ b/programs/fg-load/fl_send.h
@@ -1,8 +1,11 @@
 /*
- * fl_send - sends one request until it has its last answer.
+ * fl_send - sends a request with retries until it has a final answer.
  *
- * Sent again is only what the answer calls NOT_RUN with a time to come back,
- * what never reached an instance, and repeatable work whose connection broke.
+ * A request is sent again only if
+ *   - the connection failed, so that the request never reached an instance;
+ *   - the answer is NOT_RUN with HTTP status 409, 429 or 503, and gives a time
+ *     to retry after or another address; or
+ *   - no complete answer arrived, and the request is not a filing.
  * A filing that may have run is never sent again.
  */
 #ifndef FL_SEND_H
@@ -19,7 +22,8 @@
 	struct fl_stalls *stalls; /* NULL without an experiment */
 };
 
-/* Blocks until the request has its last answer, which goes to the record. */
+/* Blocks until the request has its final answer and records the result. `curl`
+ * must not be used by another thread meanwhile. */
 void fl_send(struct fl_sender *sender, CURL *curl, const struct fl_req *req);
 
 #endif
--- a/programs/fg-load/fl_stalls.c
+++ b/programs/fg-load/fl_stalls.c
@@ -9,12 +9,12 @@
 
 #define LOG_TIMEOUT_MS 10000
 
-struct started {
+struct request_times {
 	fg_ms due;
-	fg_ms began; /* 0: no engine ran it */
+	fg_ms started_at; /* start of the last run; 0 if there was none */
 };
 
-/* A run from begin to end at any engine. */
+/* A run on an engine. */
 struct span {
 	fg_ms begin;
 	fg_ms end;
@@ -23,9 +23,9 @@
 struct fl_stalls {
 	const struct fl_experiment *exp;
 	pthread_mutex_t lock;
-	GHashTable *requests; /* name to struct started */
+	GHashTable *requests; /* name -> struct request_times */
 	GArray *spans;
-	uint32_t places; /* in the batches of all engines */
+	uint32_t batch_capacity; /* sum of all engines' batch sizes */
 };
 
 struct fl_stalls *fl_stalls_new(const struct fl_experiment *exp)
@@ -50,47 +50,48 @@
 
 void fl_stalls_request(struct fl_stalls *s, const char *name, fg_ms due)
 {
-	struct started *started = g_new0(struct started, 1);
+	struct request_times *times = g_new0(struct request_times, 1);
 
-	started->due = due;
+	times->due = due;
 	pthread_mutex_lock(&s->lock);
-	g_hash_table_replace(s->requests, g_strdup(name), started);
+	g_hash_table_replace(s->requests, g_strdup(name), times);
 	pthread_mutex_unlock(&s->lock);
 }
 
-static const char *text_of(json_t *obj, const char *name)
+static const char *get_string(json_t *obj, const char *name)
 {
 	const char *s = json_string_value(json_object_get(obj, name));
 
 	return s ? s : "";
 }
 
-static void note_start(struct fl_stalls *s, json_t *event, fg_ms t)
+static void record_start(struct fl_stalls *s, json_t *event, fg_ms t)
 {
-	char *name = g_strdup(text_of(event, "tag"));
+	char *name = g_strdup(get_string(event, "tag"));
 	char *dot = strrchr(name, '.');
-	struct started *started;
+	struct request_times *times;
 
 	if (dot)
 		*dot = '\0';
-	started = g_hash_table_lookup(s->requests, name);
-	if (started && t > started->began)
-		started->began = t;
+	times = g_hash_table_lookup(s->requests, name);
+	if (times && t > times->started_at)
+		times->started_at = t;
 	g_free(name);
 }
 
-/* Runs that have begun and not ended, by id, of the engine being read. */
-static void take_event(struct fl_stalls *s, GHashTable *open, json_t *event)
+/* Processes an event of an engine's log. `open` maps the ids of the engine's
+ * unfinished runs to their start times. */
+static void process_event(struct fl_stalls *s, GHashTable *open, json_t *event)
 {
 	fg_ms t = json_integer_value(json_object_get(event, "t"));
-	const char *ev = text_of(event, "ev");
-	const char *id = text_of(event, "id");
+	const char *ev = get_string(event, "ev");
+	const char *id = get_string(event, "id");
 	fg_ms *begin;
 
 	if (strcmp(ev, "run_start") == 0) {
 		g_hash_table_replace(open, g_strdup(id),
 				     g_memdup2(&t, sizeof(t)));
-		note_start(s, event, t);
+		record_start(s, event, t);
 	} else if (strcmp(ev, "run_end") == 0) {
 		begin = g_hash_table_lookup(open, id);
 		if (begin) {
@@ -102,7 +103,7 @@
 	}
 }
 
-static void take_log(struct fl_stalls *s, const char *text)
+static void process_log(struct fl_stalls *s, const char *text)
 {
 	GHashTable *open =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -112,7 +113,7 @@
 		json_t *event = json_loads(*line, 0, NULL);
 
 		if (event)
-			take_event(s, open, event);
+			process_event(s, open, event);
 		json_decref(event);
 	}
 	g_strfreev(lines);
@@ -130,10 +131,13 @@
 		fl_http_get(curl, engine->control, "/control/log",
 			    LOG_TIMEOUT_MS, &res);
 		if (res.status == 200) {
-			take_log(s, res.body->str);
-			s->places += engine->batch;
+			process_log(s, res.body->str);
+			s->batch_capacity += engine->batch;
 		} else {
-			fprintf(stderr, "%s: no log\n", engine->control);
+			fprintf(stderr,
+				"%s: cannot read the engine's log, the report "
+				"omits its runs\n",
+				engine->control);
 		}
 		fl_http_result_clear(&res);
 	}
@@ -148,7 +152,7 @@
 	return x < y ? -1 : x > y;
 }
 
-/* Waits of the requests that were due in [from, to). */
+/* Computes the waits of the requests that were due in [from, to). */
 static void measure_waits(struct fl_stalls *s, fg_ms from, fg_ms to,
 			  struct fl_bucket *out)
 {
@@ -158,11 +162,11 @@
 
 	g_hash_table_iter_init(&iter, s->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct started *started = value;
-		uint32_t wait_ms = (uint32_t)(started->began - started->due);
+		const struct request_times *times = value;
+		uint32_t wait_ms = (uint32_t)(times->started_at - times->due);
 
-		if (started->began != 0 && started->due >= from &&
-		    started->due < to)
+		if (times->started_at != 0 && times->due >= from &&
+		    times->due < to)
 			g_array_append_val(waits, wait_ms);
 	}
 	g_array_sort(waits, compare_u32);
@@ -179,7 +183,7 @@
 
 static double measure_fill(const struct fl_stalls *s, fg_ms from, fg_ms to)
 {
-	fg_ms taken_ms = 0;
+	fg_ms used_ms = 0;
 
 	for (guint i = 0; i < s->spans->len; i++) {
 		struct span span = g_array_index(s->spans, struct span, i);
@@ -187,11 +191,11 @@
 		fg_ms end = MIN(span.end, to);
 
 		if (end > begin)
-			taken_ms += end - begin;
+			used_ms += end - begin;
 	}
-	if (s->places == 0)
+	if (s->batch_capacity == 0)
 		return 0;
-	return (double)taken_ms / ((double)(to - from) * s->places);
+	return (double)used_ms / ((double)(to - from) * s->batch_capacity);
 }
 
 struct fl_bucket *fl_stalls_buckets(struct fl_stalls *s, fg_ms begin, fg_ms end,
--- a/programs/fg-load/fl_stalls.h
+++ b/programs/fg-load/fl_stalls.h
@@ -1,9 +1,9 @@
 /*
- * fl_stalls - load stalls and batch fill, from the engines' own logs.
+ * fl_stalls - waiting times and batch fill, computed from the engines' logs.
  *
- * The wait of a request is the time from when the caller was to send it until
- * an engine began to run it for the last time. The batch fill is the share of
- * all places in the engines' batches that were taken.
+ * The wait of a request is the time from when the request was due to the start
+ * of its last run on an engine. The batch fill is the used share of the
+ * capacity of all engines' batches. fl_stalls_request() is thread-safe.
  */
 #ifndef FL_STALLS_H
 #define FL_STALLS_H
@@ -13,24 +13,28 @@
 
 struct fl_stalls;
 
+/* exp is borrowed. */
 struct fl_stalls *fl_stalls_new(const struct fl_experiment *exp);
 void fl_stalls_free(struct fl_stalls *s);
 
-/* A request was to be sent at `due`; name is its tag without the attempt. */
+/* Registers a request that is due at `due`. `name` is its tag without the
+ * number of the attempt. */
 void fl_stalls_request(struct fl_stalls *s, const char *name, fg_ms due);
 
-/* Reads the engines' logs; call it once, when all requests have ended. */
+/* Reads the logs of the engines. Call it once, after all requests have ended.
+ * An engine whose log cannot be read is reported and left out. */
 void fl_stalls_collect(struct fl_stalls *s);
 
-/* One interval of bucket_ms. */
+/* An interval of bucket_ms. */
 struct fl_bucket {
-	uint32_t requests; /* that were due in it and began to run */
+	uint32_t requests; /* due in the interval and run by an engine */
 	uint32_t wait_p50_ms;
 	uint32_t wait_p95_ms;
 	double fill; /* 0 to 1 */
 };
 
-/* Intervals from `begin` until `end`; *n is their number. g_malloc'ed. */
+/* Returns the intervals from `begin` to `end` and their number in *n. The
+ * caller frees the array with g_free(). */
 struct fl_bucket *fl_stalls_buckets(struct fl_stalls *s, fg_ms begin, fg_ms end,
 				    uint32_t *n);
 
--- a/tests/unit/test_load.c
+++ b/tests/unit/test_load.c
@@ -1,7 +1,7 @@
 /*
- * fg-load is the reference of a caller: it must find answers that are not
- * whole, and must never send a filing again that may have run. A server in
- * this process answers in place of an entry instance.
+ * Tests of fg-load, the reference implementation of a caller. It must detect
+ * incomplete and wrong answers, and must never resend a filing that may have
+ * run. A server in this process stands in for an entry instance.
  */
 #include <glib.h>
 #include <glib/gstdio.h>
@@ -19,16 +19,16 @@
 #define PORT_BASE_DEFAULT 21000
 #define PORT_OFFSET 940
 
-/* How the server answers generations and filings. */
+/* How the server answers all requests except address lookups. */
 enum mode {
-	MODE_RIGHT,
-	MODE_WRONG_TOKEN,      /* one token from another adapter */
-	MODE_TOO_SHORT,	       /* a token is missing */
-	MODE_NO_END,	       /* a stream without its last line */
-	MODE_NOT_RUN_FIRST,    /* NOT_RUN with a time to come back, once */
-	MODE_NOT_RUN_FOR_GOOD, /* NOT_RUN, the request must change */
-	MODE_CLOSED,	       /* connection closed without an answer */
-	MODE_UNKNOWN,
+	MODE_CORRECT,
+	MODE_WRONG_TOKEN,	/* one token from another adapter */
+	MODE_MISSING_TOKEN,	/* a token is missing */
+	MODE_TRUNCATED_STREAM,	/* a stream without its last line */
+	MODE_NOT_RUN_ONCE,	/* NOT_RUN with retry_after_ms, only once */
+	MODE_NOT_RUN_FINAL,	/* 403 and NOT_RUN: a retry is useless */
+	MODE_CONNECTION_CLOSED, /* connection closed without an answer */
+	MODE_UNKNOWN,		/* outcome UNKNOWN */
 };
 
 static char *bin_dir;
@@ -36,10 +36,10 @@
 static uint16_t port;
 static enum mode mode;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static uint32_t calls; /* but for address lookups */
+static uint32_t n_calls; /* except address lookups */
 
-static char *token_text(const char *adapter, const char *prompt, int tokens,
-			const char *last_adapter)
+static char *make_tokens(const char *adapter, const char *prompt, int tokens,
+			 const char *last_adapter)
 {
 	GString *text = g_string_new(NULL);
 
@@ -54,7 +54,7 @@
 	return g_string_free(text, FALSE);
 }
 
-static char *dump(json_t *obj)
+static char *dump_and_free(json_t *obj)
 {
 	char *raw = json_dumps(obj, JSON_COMPACT);
 	char *text = g_strdup(raw);
@@ -64,34 +64,35 @@
 	return text;
 }
 
-static char *generation(json_t *req)
+static char *make_generation(json_t *req)
 {
 	const char *adapter =
 		json_string_value(json_object_get(req, "adapter"));
 	const char *prompt = json_string_value(json_object_get(req, "prompt"));
 	int tokens =
 		(int)json_integer_value(json_object_get(req, "max_tokens"));
-	char *text =
-		token_text(adapter, prompt, tokens - (mode == MODE_TOO_SHORT),
-			   mode == MODE_WRONG_TOKEN ? "other" : adapter);
-	char *last = dump(json_pack("{s:s, s:s, s:s, s:s, s:i}", "outcome",
-				    "DONE", "adapter", adapter, "version", "v1",
-				    "text", text, "tokens", tokens));
-	char *piece = dump(json_pack("{s:s}", "t", text));
+	char *text = make_tokens(adapter, prompt,
+				 tokens - (mode == MODE_MISSING_TOKEN),
+				 mode == MODE_WRONG_TOKEN ? "other" : adapter);
+	char *last = dump_and_free(json_pack(
+		"{s:s, s:s, s:s, s:s, s:i}", "outcome", "DONE", "adapter",
+		adapter, "version", "v1", "text", text, "tokens", tokens));
+	char *piece = dump_and_free(json_pack("{s:s}", "t", text));
 	char *answer;
 
 	if (!json_is_true(json_object_get(req, "stream")))
 		answer = g_strdup(last);
 	else
 		answer = g_strconcat(piece, "\n",
-				     mode == MODE_NO_END ? "" : last, NULL);
+				     mode == MODE_TRUNCATED_STREAM ? "" : last,
+				     NULL);
 	g_free(text);
 	g_free(last);
 	g_free(piece);
 	return answer;
 }
 
-static char *filing(struct MHD_Connection *conn)
+static char *make_filing_answer(struct MHD_Connection *conn)
 {
 	const char *key = MHD_lookup_connection_value(conn, MHD_HEADER_KIND,
 						      "Idempotency-Key");
@@ -99,11 +100,12 @@
 
 	g_snprintf(receipt, sizeof(receipt), "%08x",
 		   (uint32_t)fg_hash_str(key));
-	return dump(json_pack("{s:s, s:{s:s, s:s}}", "outcome", "DONE", "body",
-			      "filed", key, "receipt", receipt));
+	return dump_and_free(json_pack("{s:s, s:{s:s, s:s}}", "outcome", "DONE",
+				       "body", "filed", key, "receipt",
+				       receipt));
 }
 
-static char *lookup(void)
+static char *make_lookup_answer(void)
 {
 	return g_strdup_printf("{\"addresses\":[\"127.0.0.1:%u\"],"
 			       "\"ttl_ms\":1000}",
@@ -111,19 +113,19 @@
 }
 
 /* Returns the answer, or NULL to close the connection. */
-static char *work(struct MHD_Connection *conn, const char *path, json_t *req,
-		  unsigned int *status)
+static char *make_answer(struct MHD_Connection *conn, const char *path,
+			 json_t *req, unsigned int *status)
 {
-	uint32_t call = ++calls;
+	uint32_t call = ++n_calls;
 
-	if (mode == MODE_CLOSED)
+	if (mode == MODE_CONNECTION_CLOSED)
 		return NULL;
-	if (mode == MODE_NOT_RUN_FIRST && call == 1) {
+	if (mode == MODE_NOT_RUN_ONCE && call == 1) {
 		*status = 503;
 		return g_strdup("{\"outcome\":\"NOT_RUN\",\"reason\":"
 				"\"overload\",\"retry_after_ms\":10}");
 	}
-	if (mode == MODE_NOT_RUN_FOR_GOOD) {
+	if (mode == MODE_NOT_RUN_FINAL) {
 		*status = 403;
 		return g_strdup("{\"outcome\":\"NOT_RUN\",\"reason\":"
 				"\"no_right\",\"retry_after_ms\":10}");
@@ -134,14 +136,15 @@
 				"\"endpoint_lost\",\"retry_after_ms\":10}");
 	}
 	if (strcmp(path, "/v1/filings") == 0)
-		return filing(conn);
-	return generation(req);
+		return make_filing_answer(conn);
+	return make_generation(req);
 }
 
-static enum MHD_Result on_request(void *arg, struct MHD_Connection *conn,
-				  const char *path, const char *method,
-				  const char *http_version, const char *data,
-				  size_t *len_bytes, void **state)
+static enum MHD_Result handle_request(void *arg, struct MHD_Connection *conn,
+				      const char *path, const char *method,
+				      const char *http_version,
+				      const char *data, size_t *len_bytes,
+				      void **state)
 {
 	GString *body = *state;
 	struct MHD_Response *response;
@@ -167,8 +170,8 @@
 	*state = NULL;
 	pthread_mutex_lock(&lock);
 	answer = strcmp(path, "/v1/address") == 0
-			 ? lookup()
-			 : work(conn, path, req, &status);
+			 ? make_lookup_answer()
+			 : make_answer(conn, path, req, &status);
 	pthread_mutex_unlock(&lock);
 	json_decref(req);
 	if (!answer)
@@ -181,25 +184,25 @@
 	return ret;
 }
 
-static void set_mode(enum mode with)
+static void set_mode(enum mode new_mode)
 {
 	pthread_mutex_lock(&lock);
-	mode = with;
-	calls = 0;
+	mode = new_mode;
+	n_calls = 0;
 	pthread_mutex_unlock(&lock);
 }
 
-static uint32_t count_calls(void)
+static uint32_t get_n_calls(void)
 {
 	uint32_t n;
 
 	pthread_mutex_lock(&lock);
-	n = calls;
+	n = n_calls;
 	pthread_mutex_unlock(&lock);
 	return n;
 }
 
-/* Runs fg-load with more options; returns its summary. */
+/* Runs fg-load with additional options; returns its summary. */
 static json_t *run_load(const char *options, bool want_success)
 {
 	char *summary = g_build_filename(dir, "summary.json", NULL);
@@ -224,57 +227,57 @@
 	return obj;
 }
 
-static void check_number(json_t *obj, const char *name, json_int_t wanted)
+static void assert_number(json_t *obj, const char *name, json_int_t expected)
 {
 	g_assert_cmpint(json_integer_value(json_object_get(obj, name)), ==,
-			wanted);
+			expected);
 }
 
-static void check_run(enum mode with, const char *options, int done, int whole,
-		      int attempts)
+static void assert_run(enum mode new_mode, const char *options, int done,
+		       int whole, int attempts)
 {
 	bool all_done = strstr(options, "--all-done") != NULL;
 	json_t *summary;
 
-	set_mode(with);
+	set_mode(new_mode);
 	summary = run_load(options, done == whole && !(all_done && !done));
-	check_number(summary, "done", done);
-	check_number(summary, "whole", whole);
-	check_number(summary, "attempts", attempts);
-	g_assert_cmpuint(count_calls(), ==, (uint32_t)attempts);
+	assert_number(summary, "done", done);
+	assert_number(summary, "whole", whole);
+	assert_number(summary, "attempts", attempts);
+	g_assert_cmpuint(get_n_calls(), ==, (uint32_t)attempts);
 	json_decref(summary);
 }
 
-static void test_whole(void)
+static void test_answer_checks(void)
 {
 	const char *plain = "-n 8 --mix interactive=1";
 	const char *streamed = "-n 8 --mix draft=1";
 
-	check_run(MODE_RIGHT, plain, 8, 8, 8);
-	check_run(MODE_RIGHT, streamed, 8, 8, 8);
-	check_run(MODE_RIGHT, "-n 8 --mix filing=1", 8, 8, 8);
-	check_run(MODE_WRONG_TOKEN, plain, 8, 0, 8);
-	check_run(MODE_WRONG_TOKEN, streamed, 8, 0, 8);
-	check_run(MODE_TOO_SHORT, plain, 8, 0, 8);
-	/* The version that is answered must be the one asked for. */
-	check_run(MODE_RIGHT, "-n 8 --mix draft=1 --version v2", 8, 0, 8);
+	assert_run(MODE_CORRECT, plain, 8, 8, 8);
+	assert_run(MODE_CORRECT, streamed, 8, 8, 8);
+	assert_run(MODE_CORRECT, "-n 8 --mix filing=1", 8, 8, 8);
+	assert_run(MODE_WRONG_TOKEN, plain, 8, 0, 8);
+	assert_run(MODE_WRONG_TOKEN, streamed, 8, 0, 8);
+	assert_run(MODE_MISSING_TOKEN, plain, 8, 0, 8);
+	/* The server answers with version v1, which does not match v2. */
+	assert_run(MODE_CORRECT, "-n 8 --mix draft=1 --version v2", 8, 0, 8);
 }
 
-static void test_repeats(void)
+static void test_retries(void)
 {
 	const char *filing = "-n 1 --mix filing=1 --attempts 3";
 	const char *draft = "-n 1 --mix draft=1 --attempts 3";
 
-	check_run(MODE_NOT_RUN_FIRST, filing, 1, 1, 2);
-	check_run(MODE_NOT_RUN_FIRST, draft, 1, 1, 2);
-	check_run(MODE_NOT_RUN_FOR_GOOD, filing, 0, 0, 1);
-	check_run(MODE_NOT_RUN_FOR_GOOD, "-n 1 --mix draft=1 --all-done", 0, 0,
-		  1);
-	/* A filing that may have run is not sent again, a draft is. */
-	check_run(MODE_CLOSED, filing, 0, 0, 1);
-	check_run(MODE_CLOSED, draft, 0, 0, 3);
-	check_run(MODE_UNKNOWN, filing, 0, 0, 1);
-	check_run(MODE_NO_END, draft, 0, 0, 3);
+	assert_run(MODE_NOT_RUN_ONCE, filing, 1, 1, 2);
+	assert_run(MODE_NOT_RUN_ONCE, draft, 1, 1, 2);
+	assert_run(MODE_NOT_RUN_FINAL, filing, 0, 0, 1);
+	assert_run(MODE_NOT_RUN_FINAL, "-n 1 --mix draft=1 --all-done", 0, 0,
+		   1);
+	/* A filing that may have run must not be sent again, a draft may. */
+	assert_run(MODE_CONNECTION_CLOSED, filing, 0, 0, 1);
+	assert_run(MODE_CONNECTION_CLOSED, draft, 0, 0, 3);
+	assert_run(MODE_UNKNOWN, filing, 0, 0, 1);
+	assert_run(MODE_TRUNCATED_STREAM, draft, 0, 0, 3);
 }
 
 static void test_experiment(void)
@@ -298,10 +301,11 @@
 	g_file_set_contents(path, text, -1, NULL);
 	set_mode(MODE_UNKNOWN);
 	summary = run_load(options, true);
-	/* The command line goes before the file. */
-	check_number(summary, "requests", 10);
-	/* The fault that was due came as well, the later one did not. */
-	g_assert_cmpuint(count_calls(), ==, 11);
+	/* The command line overrides the file. */
+	assert_number(summary, "requests", 10);
+	/* 10 requests and the fault that was due; the later fault was
+	 * cancelled. */
+	g_assert_cmpuint(get_n_calls(), ==, 11);
 	g_assert_true(g_file_test(plot, G_FILE_TEST_EXISTS));
 	json_decref(summary);
 	g_remove(path);
@@ -336,13 +340,14 @@
 			  PORT_OFFSET);
 	addr.sin_port = htons(port);
 	addr.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-	daemon = MHD_start_daemon(MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL,
-				  NULL, on_request, NULL, MHD_OPTION_SOCK_ADDR,
-				  &addr, MHD_OPTION_LISTENING_ADDRESS_REUSE,
-				  (unsigned int)1, MHD_OPTION_END);
+	daemon =
+		MHD_start_daemon(MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL,
+				 handle_request, NULL, MHD_OPTION_SOCK_ADDR,
+				 &addr, MHD_OPTION_LISTENING_ADDRESS_REUSE,
+				 (unsigned int)1, MHD_OPTION_END);
 	g_assert_nonnull(daemon);
-	g_test_add_func("/load/whole", test_whole);
-	g_test_add_func("/load/repeats", test_repeats);
+	g_test_add_func("/load/whole", test_answer_checks);
+	g_test_add_func("/load/repeats", test_retries);
 	g_test_add_func("/load/experiment", test_experiment);
 	status = g_test_run();
 	MHD_stop_daemon(daemon);
