--- a/lib/check/fg_check.h
+++ b/lib/check/fg_check.h
@@ -81,8 +81,8 @@
  */
 bool fg_check_add(struct fg_check *c, const char *text, GError **error);
 
-/* Computes the verdicts. Call it once, after all histories were added; the
- * functions below are valid afterwards. */
+/* Computes the verdicts. Call it once, after all histories were added and
+ * before the verdicts are read. */
 void fg_check_run(struct fg_check *c);
 
 enum fg_verdict fg_check_verdict(const struct fg_check *c, enum fg_promise p);
--- a/lib/check/fg_event.c
+++ b/lib/check/fg_event.c
@@ -70,7 +70,8 @@
 	return EV_OTHER;
 }
 
-/* Returns a string field. Ids may also be numbers. */
+/* Returns a string field, or "" if the value is neither a string nor a number.
+ * Ids may be written as numbers. */
 static const char *get_string(const json_t *value, GStringChunk *strings)
 {
 	char number[24];
--- a/lib/history/fg_history.h
+++ b/lib/history/fg_history.h
@@ -39,7 +39,7 @@
  */
 void fg_history_add(struct fg_history *h, const char *ev, json_t *fields);
 
-/* Does the same with fields in the format of json_pack(), such as
+/* Like fg_history_add(), with fields in the format of json_pack(), such as
  * fg_history_log(h, "release", "{s:I}", "grant", id). Optional strings use
  * "s?". A format that does not match its arguments aborts the program. */
 void fg_history_log(struct fg_history *h, const char *ev, const char *format,
--- a/lib/log/fg_log.c
+++ b/lib/log/fg_log.c
@@ -351,8 +351,8 @@
 	limits = *new_limits;
 	output = STDOUT_FILENO;
 	flags = fcntl(output, F_GETFL);
-	/* If this fails, writes to a full pipe block; the limits still apply.
-	 */
+	/* If O_NONBLOCK cannot be set, writes to a full pipe block. The limits
+	 * still apply. */
 	if (flags >= 0)
 		(void)fcntl(output, F_SETFL, flags | O_NONBLOCK);
 	pthread_mutex_unlock(&lock);
--- a/lib/settings/fg_settings.h
+++ b/lib/settings/fg_settings.h
@@ -106,7 +106,8 @@
  * fg_settings_free(), or NULL with *error set. */
 struct fg_settings *fg_settings_load(const char *path, GError **error);
 
-/* Does the same with a text; `path` is only used in error messages. */
+/* Like fg_settings_load(), for the text of a file; `path` is only used in error
+ * messages. */
 struct fg_settings *fg_settings_parse(const char *path, const char *text,
 				      GError **error);
 
--- a/programs/fg-load/fl_plan.c
+++ b/programs/fg-load/fl_plan.c
@@ -7,7 +7,7 @@
 struct fl_plan {
 	const struct fl_conf *conf;
 	struct fg_rand rand;
-	double *cumulative_share; /* of the ranks up to each rank */
+	double *cumulative_share; /* cumulative distribution by rank */
 	uint32_t *by_rank;	  /* adapter at each popularity rank */
 	uint32_t n_planned;	  /* requests planned so far */
 	uint32_t n_filings;	  /* filings planned so far */
