--- a/tests/bench/bench_ledger.c
+++ b/tests/bench/bench_ledger.c
@@ -1,7 +1,7 @@
 /*
- * What a filing costs: transactions of the table and processor time, by rate
- * of filings at one instance and by group window. Every operation succeeds
- * after a fixed time, and names the row versions.
+ * Measures what a filing costs in table transactions and processor time, by the
+ * filing rate of one instance and by group window. Every table operation
+ * succeeds after a fixed time and returns the versions of the rows it wrote.
  */
 #include <glib.h>
 #include <math.h>
@@ -14,45 +14,49 @@
 #define SEED 1
 #define RUN_MS 60000
 #define TABLE_MS 5    /* answer time of the table */
-#define SERVICE_MS 40 /* of the plain service */
+#define SERVICE_MS 40 /* answer time of the plain service */
 #define PENDING_MAX 4096
 
+/* A table operation or a service call in flight. */
 struct pending {
-	fg_ms at;
-	struct fg_table_op *op; /* NULL: outcome of id */
+	fg_ms at;		/* time of completion */
+	struct fg_table_op *op; /* NULL: service call of the filing id */
 	uint64_t id;
 };
 
 struct bench {
 	struct fg_ledger *ledger;
 	fg_ms now;
-	struct pending queue[PENDING_MAX];
-	size_t n;
-	uint64_t ops;
+	struct pending pending[PENDING_MAX];
+	size_t n_pending;
+	uint64_t txns;
 	uint64_t recorded;
-	uint64_t wait_ms; /* from start to dispatch, summed */
-	fg_ms begun[PENDING_MAX];
+	uint64_t dispatch_wait_ms;     /* sum over filings, start to dispatch */
+	fg_ms started_at[PENDING_MAX]; /* per filing id, modulo PENDING_MAX */
 	uint64_t row_version;
 };
 
-static void push(struct bench *b, struct pending p)
+static void add_pending(struct bench *b, struct pending p)
 {
-	g_assert(b->n < PENDING_MAX);
-	b->queue[b->n++] = p;
+	g_assert(b->n_pending < PENDING_MAX);
+	b->pending[b->n_pending++] = p;
 }
 
-static void emit(void *arg, struct fg_ledger_act *act)
+static void handle_act(void *arg, struct fg_ledger_act *act)
 {
 	struct bench *b = arg;
 
 	switch (act->type) {
 	case FG_LA_TABLE:
-		b->ops++;
-		push(b, (struct pending){ b->now + TABLE_MS, act->op, 0 });
+		b->txns++;
+		add_pending(b,
+			    (struct pending){ b->now + TABLE_MS, act->op, 0 });
 		break;
 	case FG_LA_DISPATCH:
-		b->wait_ms += b->now - b->begun[act->id % PENDING_MAX];
-		push(b, (struct pending){ b->now + SERVICE_MS, NULL, act->id });
+		b->dispatch_wait_ms +=
+			b->now - b->started_at[act->id % PENDING_MAX];
+		add_pending(b, (struct pending){ b->now + SERVICE_MS, NULL,
+						 act->id });
 		break;
 	case FG_LA_RECORDED:
 		b->recorded++;
@@ -62,49 +66,50 @@
 	}
 }
 
-static void finish(struct bench *b, struct pending *p)
+static void complete_pending(struct bench *b, struct pending *p)
 {
 	struct fg_table_result *res;
 
 	if (p->op == NULL) {
 		fg_ledger_record_outcome(b->ledger, b->now, p->id, FG_DONE,
-					 FG_R_NONE, "{\"filed\":1}", emit, b);
+					 FG_R_NONE, "{\"filed\":1}", handle_act,
+					 b);
 		return;
 	}
 	res = fg_table_result_new(p->op->id, p->op->kind, FG_PF_OK);
 	for (size_t i = 0; i < p->op->n_writes; i++)
 		fg_table_result_row(res, p->op->writes[i].key, ++b->row_version,
 				    NULL);
-	fg_ledger_handle_result(b->ledger, b->now, res, emit, b);
+	fg_ledger_handle_result(b->ledger, b->now, res, handle_act, b);
 	fg_table_result_free(res);
 	fg_table_op_free(p->op);
 }
 
-static void finish_due(struct bench *b)
+static void complete_all_due(struct bench *b)
 {
-	for (size_t i = 0; i < b->n;) {
-		struct pending p = b->queue[i];
+	for (size_t i = 0; i < b->n_pending;) {
+		struct pending p = b->pending[i];
 
 		if (p.at > b->now) {
 			i++;
 			continue;
 		}
-		b->queue[i] = b->queue[--b->n];
-		finish(b, &p);
+		b->pending[i] = b->pending[--b->n_pending];
+		complete_pending(b, &p);
 	}
 }
 
-static void start_one(struct bench *b, uint64_t id)
+static void start_filing(struct bench *b, uint64_t id)
 {
 	char key[24];
 
-	b->begun[id % PENDING_MAX] = b->now;
+	b->started_at[id % PENDING_MAX] = b->now;
 	g_snprintf(key, sizeof(key), "key-%u", (unsigned int)id);
 	fg_ledger_start(b->ledger, b->now, id, "caller", key, 7, b->now + 30000,
-			emit, b);
+			handle_act, b);
 }
 
-static void run(uint32_t rate_per_s, uint32_t group_ms)
+static void run_case(uint32_t rate_per_s, uint32_t group_ms)
 {
 	struct fg_ledger_conf conf = { .self = 1,
 				       .group_ms = group_ms,
@@ -115,26 +120,26 @@
 	struct fg_rand rand;
 	uint64_t started = 0;
 	double next_ms = 0;
-	clock_t begin = clock();
+	clock_t cpu_start = clock();
 
 	fg_rand_seed(&rand, SEED);
 	b->ledger = fg_ledger_new(&conf, SEED);
 	for (b->now = 1; b->now < RUN_MS; b->now++) {
 		while (next_ms <= (double)b->now) {
-			start_one(b, ++started);
+			start_filing(b, ++started);
 			next_ms -= log(1 - fg_rand_unit(&rand)) * FG_MS_PER_S /
 				   rate_per_s;
 		}
-		finish_due(b);
-		fg_ledger_tick(b->ledger, b->now, emit, b);
+		complete_all_due(b);
+		fg_ledger_tick(b->ledger, b->now, handle_act, b);
 	}
 	printf("%6u %6u %12.2f %12.1f %10.1f %8.1f\n", rate_per_s, group_ms,
-	       (double)b->ops / b->recorded,
-	       b->ops * (double)FG_MS_PER_S / RUN_MS,
-	       (double)b->wait_ms / started,
-	       (double)(clock() - begin) / CLOCKS_PER_SEC * 1e6 / started);
-	for (size_t i = 0; i < b->n; i++)
-		fg_table_op_free(b->queue[i].op);
+	       (double)b->txns / b->recorded,
+	       b->txns * (double)FG_MS_PER_S / RUN_MS,
+	       (double)b->dispatch_wait_ms / started,
+	       (double)(clock() - cpu_start) / CLOCKS_PER_SEC * 1e6 / started);
+	for (size_t i = 0; i < b->n_pending; i++)
+		fg_table_op_free(b->pending[i].op);
 	fg_ledger_free(b->ledger);
 	g_free(b);
 }
@@ -150,6 +155,6 @@
 	       "txn/s", "wait ms", "us each");
 	for (size_t w = 0; w < G_N_ELEMENTS(windows_ms); w++)
 		for (size_t r = 0; r < G_N_ELEMENTS(rates); r++)
-			run(rates[r], windows_ms[w]);
+			run_case(rates[r], windows_ms[w]);
 	return 0;
 }
--- a/tests/bench/bench_stream.c
+++ b/tests/bench/bench_stream.c
@@ -1,9 +1,9 @@
 /*
- * What reading event streams costs with the gateway's own connections (fg_link
- * and fg_h1) and with libcurl's multi interface, both on a libuv loop:
- * processor time and memory of the reading thread, and how late an event is
- * seen. Streams are like those of the users' summaries: 57 events of 45 bytes,
- * 20 ms apart.
+ * Compares the cost of reading event streams with the gateway's own connections
+ * (fg_link and fg_h1) and with libcurl's multi interface, both on a libuv loop:
+ * processor time and memory of the reading thread, and the delay from sending
+ * an event to reading it. The streams have the shape of the users' summaries:
+ * 57 events of 45 bytes, 20 ms apart.
  */
 #include <arpa/inet.h>
 #include <curl/curl.h>
@@ -16,8 +16,8 @@
 #include "h1/fg_h1.h"
 #include "link/fg_link.h"
 
-#define STREAMS 64	  /* at once */
-#define STREAMS_TOTAL 640 /* of one run */
+#define STREAMS 64	  /* open at once */
+#define STREAMS_TOTAL 640 /* in one run */
 #define EVENTS 57
 #define EVENT_GAP_MS 20
 #define BODY_MAX_BYTES (1024 * 1024)
@@ -32,13 +32,13 @@
 	return (int64_t)t.tv_sec * 1000000000 + t.tv_nsec;
 }
 
-/* ---- The endpoint: a thread that streams ---- */
+/* ---- The endpoint: a thread that sends event streams ---- */
 
 struct conn {
 	uv_tcp_t tcp;
 	uv_timer_t timer;
-	int events; /* of the stream sent so far */
-	char bytes[1024];
+	int events_sent; /* of the current stream */
+	char read_buf[1024];
 };
 
 static struct endpoint {
@@ -50,7 +50,7 @@
 	char address[32];
 } endpoint;
 
-static void put(struct conn *c, const char *text, int len)
+static void write_all(struct conn *c, const char *text, int len)
 {
 	uv_buf_t buf = uv_buf_init((char *)text, (unsigned int)len);
 
@@ -62,16 +62,16 @@
 	struct conn *c = timer->data;
 	char event[64];
 	char chunk[96];
-	int n = g_snprintf(event, sizeof(event),
-			   "id: %02d\ndata: %020lld piece\n\n", c->events + 1,
-			   (long long)now_ns(CLOCK_MONOTONIC));
+	int n = g_snprintf(
+		event, sizeof(event), "id: %02d\ndata: %020lld piece\n\n",
+		c->events_sent + 1, (long long)now_ns(CLOCK_MONOTONIC));
 
 	n = g_snprintf(chunk, sizeof(chunk), "%x\r\n%s\r\n", (unsigned int)n,
 		       event);
-	put(c, chunk, n);
-	if (++c->events < EVENTS)
+	write_all(c, chunk, n);
+	if (++c->events_sent < EVENTS)
 		return;
-	put(c, "0\r\n\r\n", 5);
+	write_all(c, "0\r\n\r\n", 5);
 	uv_timer_stop(timer);
 }
 
@@ -87,7 +87,8 @@
 	uv_close((uv_handle_t *)&c->tcp, on_conn_closed);
 }
 
-/* A request, or the end of the connection. */
+/* Starts a stream for each request. Closes both handles when the connection
+ * ends. */
 static void on_request(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
 {
 	static const char head[] = "HTTP/1.1 200 OK\r\n"
@@ -100,8 +101,8 @@
 		uv_close((uv_handle_t *)&c->timer, on_timer_closed);
 		return;
 	}
-	c->events = 0;
-	put(c, head, sizeof(head) - 1);
+	c->events_sent = 0;
+	write_all(c, head, sizeof(head) - 1);
 	uv_timer_start(&c->timer, send_event, EVENT_GAP_MS, EVENT_GAP_MS);
 }
 
@@ -110,7 +111,7 @@
 	struct conn *c = handle->data;
 
 	(void)suggested;
-	*buf = uv_buf_init(c->bytes, sizeof(c->bytes));
+	*buf = uv_buf_init(c->read_buf, sizeof(c->read_buf));
 }
 
 static void on_connection(uv_stream_t *listener, int status)
@@ -134,49 +135,49 @@
 
 static void run_endpoint(void *arg)
 {
-	struct sockaddr_in at;
-	int len = sizeof(at);
+	struct sockaddr_in addr;
+	int len = sizeof(addr);
 
 	(void)arg;
 	uv_loop_init(&endpoint.loop);
 	uv_async_init(&endpoint.loop, &endpoint.stop, on_stop);
 	uv_tcp_init(&endpoint.loop, &endpoint.listener);
-	uv_ip4_addr("127.0.0.1", 0, &at); /* any free port */
-	uv_tcp_bind(&endpoint.listener, (struct sockaddr *)&at, 0);
+	uv_ip4_addr("127.0.0.1", 0, &addr); /* any free port */
+	uv_tcp_bind(&endpoint.listener, (struct sockaddr *)&addr, 0);
 	g_assert_cmpint(uv_listen((uv_stream_t *)&endpoint.listener, STREAMS,
 				  on_connection),
 			==, 0);
-	uv_tcp_getsockname(&endpoint.listener, (struct sockaddr *)&at, &len);
+	uv_tcp_getsockname(&endpoint.listener, (struct sockaddr *)&addr, &len);
 	g_snprintf(endpoint.address, sizeof(endpoint.address), "127.0.0.1:%u",
-		   ntohs(at.sin_port));
+		   ntohs(addr.sin_port));
 	uv_sem_post(&endpoint.ready);
 	uv_run(&endpoint.loop, UV_RUN_DEFAULT);
 }
 
-/* ---- What a reader sees ---- */
+/* ---- Measurements of the reader ---- */
 
-static struct seen {
-	int64_t late_ns[STREAMS_TOTAL * EVENTS];
+static struct {
+	int64_t delay_ns[STREAMS_TOTAL * EVENTS]; /* per event read */
 	int events;
-	int begun;
-	int ended;
-	size_t heap_bytes; /* with all streams open */
-} seen;
+	int streams_started;
+	int streams_ended;
+	size_t heap_bytes; /* growth by mid-run, when all streams are open */
+} stats;
 
-static size_t heap_before;
+static size_t heap_start_bytes;
 
-static void take_events(const char *data, size_t len)
+static void record_events(const char *data, size_t len)
 {
 	const char *at = data;
 
 	while ((at = memmem(at, len - (size_t)(at - data), "data: ", 6)) !=
 	       NULL) {
 		at += 6;
-		seen.late_ns[seen.events++] =
+		stats.delay_ns[stats.events++] =
 			now_ns(CLOCK_MONOTONIC) - g_ascii_strtoll(at, NULL, 10);
 	}
-	if (seen.events == STREAMS_TOTAL * EVENTS / 2)
-		seen.heap_bytes = mallinfo2().uordblks - heap_before;
+	if (stats.events == STREAMS_TOTAL * EVENTS / 2)
+		stats.heap_bytes = mallinfo2().uordblks - heap_start_bytes;
 }
 
 /* ---- fg_link and fg_h1 ---- */
@@ -196,7 +197,7 @@
 static void on_body(void *ctx, const char *data, size_t len)
 {
 	(void)ctx;
-	take_events(data, len);
+	record_events(data, len);
 }
 
 static void on_message_end(void *ctx)
@@ -210,19 +211,19 @@
 	.on_end = on_message_end,
 };
 
-static void next_stream(struct reader *r)
+static void start_next_stream(struct reader *r)
 {
-	if (seen.begun == STREAMS_TOTAL) {
+	if (stats.streams_started == STREAMS_TOTAL) {
 		fg_link_close(r->link, false);
 		return;
 	}
-	seen.begun++;
+	stats.streams_started++;
 	fg_link_write(r->link, request, sizeof(request) - 1);
 }
 
 static void on_open(void *ctx)
 {
-	next_stream(ctx);
+	start_next_stream(ctx);
 }
 
 static void on_data(void *ctx, const char *data, size_t len)
@@ -233,9 +234,9 @@
 	g_assert_cmpint(r->h1.fault, ==, FG_H1_OK);
 	if (!r->h1.ended)
 		return;
-	seen.ended++;
+	stats.streams_ended++;
 	fg_h1_next(&r->h1);
-	next_stream(r);
+	start_next_stream(r);
 }
 
 static void on_end(void *ctx, enum fg_link_end end)
@@ -281,33 +282,33 @@
 static size_t on_curl_body(char *data, size_t size, size_t n, void *arg)
 {
 	(void)arg;
-	take_events(data, size * n);
+	record_events(data, size * n);
 	return size * n;
 }
 
-static void begin_transfer(CURL *easy)
+static void start_transfer(CURL *easy)
 {
-	seen.begun++;
+	stats.streams_started++;
 	curl_multi_add_handle(curl.multi, easy);
 }
 
-static void take_ended(void)
+static void finish_transfers(void)
 {
 	CURLMsg *msg;
-	int left;
+	int n_left;
 
-	while ((msg = curl_multi_info_read(curl.multi, &left)) != NULL) {
+	while ((msg = curl_multi_info_read(curl.multi, &n_left)) != NULL) {
 		CURL *easy = msg->easy_handle;
 
 		g_assert_cmpint(msg->data.result, ==, CURLE_OK);
-		seen.ended++;
+		stats.streams_ended++;
 		curl_multi_remove_handle(curl.multi, easy);
-		if (seen.begun < STREAMS_TOTAL)
-			begin_transfer(easy);
+		if (stats.streams_started < STREAMS_TOTAL)
+			start_transfer(easy);
 		else
 			curl_easy_cleanup(easy);
 	}
-	if (seen.ended == STREAMS_TOTAL)
+	if (stats.streams_ended == STREAMS_TOTAL)
 		uv_stop(curl.loop);
 }
 
@@ -321,7 +322,7 @@
 	flags |= events & UV_READABLE ? CURL_CSELECT_IN : 0;
 	flags |= events & UV_WRITABLE ? CURL_CSELECT_OUT : 0;
 	curl_multi_socket_action(curl.multi, fd, flags, &running);
-	take_ended();
+	finish_transfers();
 }
 
 static void on_curl_timer(uv_timer_t *timer)
@@ -330,7 +331,7 @@
 
 	(void)timer;
 	curl_multi_socket_action(curl.multi, CURL_SOCKET_TIMEOUT, 0, &running);
-	take_ended();
+	finish_transfers();
 }
 
 static void on_poll_closed(uv_handle_t *handle)
@@ -338,7 +339,7 @@
 	g_free(handle);
 }
 
-static int watch_socket(CURL *easy, curl_socket_t fd, int what, void *arg,
+static int watch_socket(CURL *easy, curl_socket_t fd, int mode, void *arg,
 			void *socket_arg)
 {
 	uv_poll_t *poll = socket_arg;
@@ -346,7 +347,7 @@
 
 	(void)easy;
 	(void)arg;
-	if (what == CURL_POLL_REMOVE) {
+	if (mode == CURL_POLL_REMOVE) {
 		uv_poll_stop(poll);
 		uv_close((uv_handle_t *)poll, on_poll_closed);
 		curl_multi_assign(curl.multi, fd, NULL);
@@ -358,8 +359,8 @@
 		poll->data = GINT_TO_POINTER(fd);
 		curl_multi_assign(curl.multi, fd, poll);
 	}
-	events |= what != CURL_POLL_IN ? UV_WRITABLE : 0;
-	events |= what != CURL_POLL_OUT ? UV_READABLE : 0;
+	events |= mode != CURL_POLL_IN ? UV_WRITABLE : 0;
+	events |= mode != CURL_POLL_OUT ? UV_READABLE : 0;
 	uv_poll_start(poll, events, on_poll);
 	return 0;
 }
@@ -391,7 +392,7 @@
 		curl_easy_setopt(easy, CURLOPT_URL, curl.url);
 		curl_easy_setopt(easy, CURLOPT_PROXY, "");
 		curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_curl_body);
-		begin_transfer(easy);
+		start_transfer(easy);
 	}
 	uv_run(loop, UV_RUN_DEFAULT);
 	curl_multi_cleanup(curl.multi);
@@ -401,7 +402,7 @@
 
 /* ---- Runs ---- */
 
-static int by_size(const void *a, const void *b)
+static int compare_ns(const void *a, const void *b)
 {
 	int64_t x = *(const int64_t *)a;
 	int64_t y = *(const int64_t *)b;
@@ -414,24 +415,25 @@
 	uv_loop_t loop;
 	int64_t cpu_ns;
 
-	memset(&seen, 0, sizeof(seen));
+	memset(&stats, 0, sizeof(stats));
 	uv_loop_init(&loop);
-	heap_before = mallinfo2().uordblks;
+	heap_start_bytes = mallinfo2().uordblks;
 	cpu_ns = now_ns(CLOCK_THREAD_CPUTIME_ID);
 	read_streams(&loop);
 	cpu_ns = now_ns(CLOCK_THREAD_CPUTIME_ID) - cpu_ns;
 	uv_run(&loop, UV_RUN_NOWAIT);
 	uv_loop_close(&loop);
-	g_assert_cmpint(seen.ended, ==, STREAMS_TOTAL);
-	g_assert_cmpint(seen.events, ==, STREAMS_TOTAL * EVENTS);
-	qsort(seen.late_ns, (size_t)seen.events, sizeof(int64_t), by_size);
+	g_assert_cmpint(stats.streams_ended, ==, STREAMS_TOTAL);
+	g_assert_cmpint(stats.events, ==, STREAMS_TOTAL * EVENTS);
+	qsort(stats.delay_ns, (size_t)stats.events, sizeof(int64_t),
+	      compare_ns);
 	printf("%-6s %6.2f us an event, %5.1f KB a stream, late p50 %5.0f us, "
 	       "p99 %5.0f us, most %5.0f us\n",
-	       name, (double)cpu_ns / 1e3 / seen.events,
-	       (double)seen.heap_bytes / 1024 / STREAMS,
-	       (double)seen.late_ns[seen.events / 2] / 1e3,
-	       (double)seen.late_ns[seen.events * 99L / 100] / 1e3,
-	       (double)seen.late_ns[seen.events - 1] / 1e3);
+	       name, (double)cpu_ns / 1e3 / stats.events,
+	       (double)stats.heap_bytes / 1024 / STREAMS,
+	       (double)stats.delay_ns[stats.events / 2] / 1e3,
+	       (double)stats.delay_ns[stats.events * 99L / 100] / 1e3,
+	       (double)stats.delay_ns[stats.events - 1] / 1e3);
 }
 
 int main(void)
--- a/tests/bench/place_engine.c
+++ b/tests/bench/place_engine.c
@@ -1,4 +1,4 @@
-/* Engines with a continuous batch, and their owners. */
+/* Simulates engines with continuous batching, and their owners. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -9,19 +9,19 @@
 static int32_t find_slot(const struct engine *e, fg_av av)
 {
 	for (int32_t i = 0; i < SLOTS; i++)
-		if (fg_av_equal(e->content[i], av))
+		if (fg_av_equal(e->resident[i], av))
 			return i;
 	return -1;
 }
 
-static void end_run(struct sim *s, uint32_t req, bool done)
+static void send_run_end(struct sim *s, uint32_t req, bool is_done)
 {
 	s->reqs[req].at_engine = false;
-	sim_push(s, (struct ev){ .at = s->now + NET_MS,
-				 .type = EV_RUN_END,
-				 .req = req,
-				 .attempt = s->reqs[req].attempt,
-				 .status = done });
+	sim_push_event(s, (struct ev){ .at = s->now + NET_MS,
+				       .type = EV_RUN_END,
+				       .req = req,
+				       .attempt = s->reqs[req].attempt,
+				       .status = is_done });
 }
 
 static void start_step(struct sim *s, uint32_t ep)
@@ -30,25 +30,25 @@
 	uint32_t n = e->running->len;
 
 	e->active = n > 0;
-	e->stepping = n;
+	e->step_len = n;
 	if (n == 0)
 		return;
 	s->steps++;
-	s->filled += n;
-	sim_push(s,
-		 (struct ev){ .at = s->now + STEP_MS + STEP_FILL_MS * n / BATCH,
-			      .type = EV_STEP,
-			      .ep = ep,
-			      .id = e->epoch });
+	s->step_requests += n;
+	sim_push_event(s, (struct ev){ .at = s->now + STEP_MS +
+					     STEP_FILL_MS * n / BATCH,
+				       .type = EV_STEP,
+				       .ep = ep,
+				       .id = e->epoch });
 }
 
-void engine_run(struct sim *s, const struct ev *ev)
+void engine_on_run(struct sim *s, const struct ev *ev)
 {
 	struct engine *e = &s->engines[ev->ep];
 	struct req *r = &s->reqs[ev->req];
 
-	if (r->cancelled || find_slot(e, s->t->a[ev->req].av) < 0) {
-		end_run(s, ev->req, false);
+	if (r->cancelled || find_slot(e, s->t->arrivals[ev->req].av) < 0) {
+		send_run_end(s, ev->req, false);
 		return;
 	}
 	g_assert_cmpuint(e->running->len, <, BATCH);
@@ -58,7 +58,7 @@
 		start_step(s, ev->ep);
 }
 
-void engine_step(struct sim *s, uint32_t ep)
+void engine_finish_step(struct sim *s, uint32_t ep)
 {
 	struct engine *e = &s->engines[ep];
 	uint32_t kept = 0;
@@ -67,10 +67,10 @@
 		uint32_t req = g_array_index(e->running, uint32_t, i);
 		struct req *r = &s->reqs[req];
 
-		if (i < e->stepping)
+		if (i < e->step_len)
 			r->tokens_left--;
 		if (r->cancelled || r->tokens_left == 0)
-			end_run(s, req, r->tokens_left == 0);
+			send_run_end(s, req, r->tokens_left == 0);
 		else
 			g_array_index(e->running, uint32_t, kept++) = req;
 	}
@@ -85,34 +85,36 @@
 	e->epoch++;
 	e->active = false;
 	for (uint32_t i = 0; i < SLOTS; i++)
-		e->content[i] = (fg_av){ 0, 0 };
+		e->resident[i] = (fg_av){ 0, 0 };
 	for (uint32_t i = 0; i < e->running->len; i++)
-		end_run(s, g_array_index(e->running, uint32_t, i), false);
+		send_run_end(s, g_array_index(e->running, uint32_t, i), false);
 	g_array_set_size(e->running, 0);
 }
 
-/* Time until the store hands out the weights, by its rate limit. */
-static fg_ms store_wait(struct sim *s)
+/* Takes a token of the weight store's rate limit. Returns the time until the
+ * store delivers the weights. */
+static fg_ms take_store_token(struct sim *s)
 {
 	double rate = s->d->loads_per_s;
 
-	s->store_tokens += (double)(s->now - s->store_at) * rate / FG_MS_PER_S;
+	s->store_tokens +=
+		(double)(s->now - s->store_refilled_at) * rate / FG_MS_PER_S;
 	s->store_tokens = MIN(s->store_tokens, rate);
-	s->store_at = s->now;
+	s->store_refilled_at = s->now;
 	s->store_tokens -= 1;
 	if (s->store_tokens >= 0)
 		return 0;
 	return (fg_ms)(-s->store_tokens * FG_MS_PER_S / rate);
 }
 
-static bool store_is_down(const struct sim *s)
+static bool is_store_down(const struct sim *s)
 {
 	return s->now >= OUTAGE_AT_MS && s->now < OUTAGE_AT_MS + OUTAGE_MS;
 }
 
-/* Obeys a load: what the slot held is gone at once. */
-static void engine_load(struct sim *s, uint32_t ep, uint32_t slot,
-			const fg_place *place)
+/* Starts a load. The slot's former adapter is evicted at once. */
+static void engine_start_load(struct sim *s, uint32_t ep, uint32_t slot,
+			      const fg_place *place)
 {
 	struct engine *e = &s->engines[ep];
 	struct ev ev = { .type = EV_LOADED,
@@ -125,61 +127,64 @@
 	for (uint32_t i = 0; i < e->running->len; i++) {
 		uint32_t req = g_array_index(e->running, uint32_t, i);
 
-		/* The invariant that grants are for. */
-		g_assert_false(fg_av_equal(s->t->a[req].av, e->content[slot]));
+		/* Grants must pin the slots of running requests. */
+		g_assert_false(
+			fg_av_equal(s->t->arrivals[req].av, e->resident[slot]));
 	}
-	e->content[slot] = (fg_av){ 0, 0 };
-	if (store_is_down(s)) {
+	e->resident[slot] = (fg_av){ 0, 0 };
+	if (is_store_down(s)) {
 		ev.at = s->now + NET_MS * 2;
 		ev.status = FG_ORDER_FAILED;
-		sim_push(s, ev);
+		sim_push_event(s, ev);
 		return;
 	}
 	s->loads++;
-	s->loading++;
-	if (s->loading > LOADS_AT_ONCE)
-		load_ms = load_ms * s->loading / LOADS_AT_ONCE;
-	ev.at = s->now + store_wait(s) + load_ms;
+	s->loads_in_flight++;
+	if (s->loads_in_flight > LOADS_IN_FLIGHT_MAX)
+		load_ms = load_ms * s->loads_in_flight / LOADS_IN_FLIGHT_MAX;
+	ev.at = s->now + take_store_token(s) + load_ms;
 	ev.status = FG_ORDER_DONE;
-	sim_push(s, ev);
+	sim_push_event(s, ev);
 }
 
 /* ---- The owner ---- */
 
-static void grant_rep(struct sim *s, uint32_t ep, uint32_t router, uint32_t req,
-		      uint32_t attempt, fg_grant_status status, uint64_t grant)
+static void send_grant_rep(struct sim *s, uint32_t ep, uint32_t router,
+			   uint32_t req, uint32_t attempt,
+			   fg_grant_status status, uint64_t grant)
 {
 	fg_msg m = { .body = { .type = FG_MSG_GRANT_REP } };
 
-	sim_count(s, &m, sim_owner(ep), router);
-	sim_push(s,
-		 (struct ev){ .at = s->now + sim_net_ms(sim_owner(ep), router),
-			      .type = EV_GRANT_REP,
-			      .ep = ep,
-			      .router = router,
-			      .req = req,
-			      .attempt = attempt,
-			      .status = status,
-			      .id = grant });
+	sim_count_bytes(s, &m, sim_ep_owner(ep), router);
+	sim_push_event(s, (struct ev){ .at = s->now +
+					     sim_net_delay_ms(sim_ep_owner(ep),
+							      router),
+				       .type = EV_GRANT_REP,
+				       .ep = ep,
+				       .router = router,
+				       .req = req,
+				       .attempt = attempt,
+				       .status = status,
+				       .id = grant });
 }
 
-struct pump_arg {
+struct serve_arg {
 	struct sim *s;
 	uint32_t ep;
 };
 
-static void on_held(void *arg, const struct fg_grant_request *ask,
-		    fg_grant_status status, uint64_t grant)
+static void on_held_reply(void *arg, const struct fg_grant_request *request,
+			  fg_grant_status status, uint64_t grant)
 {
-	struct pump_arg *p = arg;
+	struct serve_arg *p = arg;
 
-	grant_rep(p->s, p->ep, (uint32_t)ask->holder - 1,
-		  (uint32_t)(ask->req_id >> 8), (uint32_t)(ask->req_id & 0xff),
-		  status, grant);
+	send_grant_rep(p->s, p->ep, (uint32_t)request->holder - 1,
+		       (uint32_t)(request->req_id >> 8),
+		       (uint32_t)(request->req_id & 0xff), status, grant);
 }
 
-/* Tells all other instances what is resident, after a change. */
-static void broadcast(struct sim *s, uint32_t ep)
+/* Sends RESIDENT to all instances if it has changed. */
+static void broadcast_resident(struct sim *s, uint32_t ep)
 {
 	fg_msg m = { .body = { .type = FG_MSG_RESIDENT } };
 	fg_resident *r;
@@ -191,28 +196,31 @@
 	g_ptr_array_add(s->residents, r);
 	m.body.fg_body_u.resident = *r;
 	for (uint32_t to = 0; to < ROUTERS; to++) {
-		sim_count(s, &m, sim_owner(ep), to);
-		sim_push(s, (struct ev){ .at = s->now +
-					       sim_net_ms(sim_owner(ep), to),
-					 .type = EV_RESIDENT,
-					 .router = to,
-					 .resident = r });
+		sim_count_bytes(s, &m, sim_ep_owner(ep), to);
+		sim_push_event(
+			s, (struct ev){
+				   .at = s->now +
+					 sim_net_delay_ms(sim_ep_owner(ep), to),
+				   .type = EV_RESIDENT,
+				   .router = to,
+				   .resident = r });
 	}
 }
 
-void owner_pump(struct sim *s, uint32_t ep)
+void owner_serve_held(struct sim *s, uint32_t ep)
 {
-	struct pump_arg arg = { s, ep };
+	struct serve_arg arg = { s, ep };
 
-	fg_grants_serve_held(s->engines[ep].grants, s->now, on_held, &arg);
-	broadcast(s, ep);
+	fg_grants_serve_held(s->engines[ep].grants, s->now, on_held_reply,
+			     &arg);
+	broadcast_resident(s, ep);
 }
 
-void owner_grant_req(struct sim *s, const struct ev *ev)
+void owner_on_grant_req(struct sim *s, const struct ev *ev)
 {
-	const struct arrival *a = &s->t->a[ev->req];
+	const struct arrival *a = &s->t->arrivals[ev->req];
 	struct engine *e = &s->engines[ev->ep];
-	struct fg_grant_request ask = {
+	struct fg_grant_request request = {
 		.holder = ev->router + 1,
 		.req_id = ((uint64_t)ev->req << 8) | ev->attempt,
 		.av = a->av,
@@ -222,84 +230,90 @@
 	uint64_t grant;
 	fg_grant_status status;
 
-	if (s->own && a->cls == FG_CLASS_DRAFT)
-		ask.hold_ms =
-			fg_hold_ms(&s->d->preset, ask.budget_ms,
+	if (s->is_gauge && a->cls == FG_CLASS_DRAFT)
+		request.hold_ms =
+			fg_hold_ms(&s->d->preset, request.budget_ms,
 				   s->d->service_p95_ms, 0, 1, BATCH, false);
-	status = fg_grants_request(e->grants, s->now, &ask, &grant);
+	status = fg_grants_request(e->grants, s->now, &request, &grant);
 	if (status != FG_GRANT_HELD)
-		grant_rep(s, ev->ep, ev->router, ev->req, ev->attempt, status,
-			  grant);
-	/* Drafts that are held may run with it; and the batch may be full. */
+		send_grant_rep(s, ev->ep, ev->router, ev->req, ev->attempt,
+			       status, grant);
+	/* Held drafts may now join the batch. Once the batch is nearly full,
+	 * RESIDENT changes. */
 	if (status == FG_GRANT_OK)
-		owner_pump(s, ev->ep);
+		owner_serve_held(s, ev->ep);
 }
 
-void owner_release(struct sim *s, const struct ev *ev)
+void owner_on_release(struct sim *s, const struct ev *ev)
 {
 	fg_grants_release(s->engines[ev->ep].grants, s->now, ev->id);
-	owner_pump(s, ev->ep);
+	owner_serve_held(s, ev->ep);
 }
 
-static void place_rep(struct sim *s, const fg_place *place, uint32_t ep,
-		      fg_place_status status)
+static void send_place_rep(struct sim *s, const fg_place *place, uint32_t ep,
+			   fg_place_status status)
 {
 	fg_msg m = { .body = { .type = FG_MSG_PLACE_REP } };
 
-	sim_count(s, &m, sim_owner(ep), 0);
-	sim_push(s, (struct ev){ .at = s->now + sim_net_ms(sim_owner(ep), 0),
-				 .type = EV_PLACE_REP,
-				 .ep = ep,
-				 .status = status,
-				 .place = *place });
+	sim_count_bytes(s, &m, sim_ep_owner(ep), 0);
+	sim_push_event(s,
+		       (struct ev){ .at = s->now +
+					  sim_net_delay_ms(sim_ep_owner(ep), 0),
+				    .type = EV_PLACE_REP,
+				    .ep = ep,
+				    .status = status,
+				    .place = *place });
 }
 
-void owner_place(struct sim *s, const struct ev *ev)
+void owner_on_place(struct sim *s, const struct ev *ev)
 {
 	struct engine *e = &s->engines[ev->ep];
-	enum fg_load_start_result start;
+	enum fg_load_start_result result;
 	uint32_t slot;
 	fg_av victim;
 
-	start = fg_grants_start_load(
-		e->grants, s->now, ev->place.av, ev->place.victim,
-		s->own ? fg_grants_score_keep : NULL, NULL, &slot, &victim);
-	if (start != FG_LOAD_START_OK) {
-		s->in_use_orders += start == FG_LOAD_START_PINNED;
-		place_rep(s, &ev->place, ev->ep,
-			  start == FG_LOAD_START_PRESENT ? FG_PLACE_DONE
-							 : FG_PLACE_REFUSED);
+	result = fg_grants_start_load(e->grants, s->now, ev->place.av,
+				      ev->place.victim,
+				      s->is_gauge ? fg_grants_score_keep : NULL,
+				      NULL, &slot, &victim);
+	if (result != FG_LOAD_START_OK) {
+		s->in_use_refusals += result == FG_LOAD_START_PINNED;
+		send_place_rep(s, &ev->place, ev->ep,
+			       result == FG_LOAD_START_PRESENT
+				       ? FG_PLACE_DONE
+				       : FG_PLACE_REFUSED);
 		return;
 	}
-	broadcast(s, ev->ep);
-	engine_load(s, ev->ep, slot, &ev->place);
+	broadcast_resident(s, ev->ep);
+	engine_start_load(s, ev->ep, slot, &ev->place);
 }
 
-void engine_loaded(struct sim *s, const struct ev *ev)
+void engine_finish_load(struct sim *s, const struct ev *ev)
 {
 	struct engine *e = &s->engines[ev->ep];
 	enum fg_order_status status = ev->status;
 
 	if (status == FG_ORDER_DONE)
-		s->loading--;
+		s->loads_in_flight--;
 	if (ev->id != e->epoch)
 		status = FG_ORDER_LOST;
 	if (status == FG_ORDER_DONE)
-		e->content[ev->slot] = ev->place.av;
+		e->resident[ev->slot] = ev->place.av;
 	fg_grants_finish_load(e->grants, s->now, ev->slot, status, LOAD_MS * 4);
-	owner_pump(s, ev->ep);
-	place_rep(s, &ev->place, ev->ep,
-		  status == FG_ORDER_DONE ? FG_PLACE_DONE : FG_PLACE_FAILED);
+	owner_serve_held(s, ev->ep);
+	send_place_rep(s, &ev->place, ev->ep,
+		       status == FG_ORDER_DONE ? FG_PLACE_DONE
+					       : FG_PLACE_FAILED);
 }
 
-static fg_av find(void *arg, const char *adapter, const char *version)
+static fg_av find_adapter(void *arg, const char *adapter, const char *version)
 {
 	(void)arg;
 	(void)version;
 	return (fg_av){ (u_int)strtoul(adapter, NULL, 10), 1 };
 }
 
-void owner_poll(struct sim *s, uint32_t ep)
+void owner_poll_engine(struct sim *s, uint32_t ep)
 {
 	struct fg_engine_state st = { 0 };
 	struct engine *e = &s->engines[ep];
@@ -310,17 +324,18 @@
 	for (uint32_t i = 0; i < SLOTS; i++) {
 		st.slot[i].adapter[0] = '\0';
 		st.slot[i].running = 0;
-		if (fg_av_none(e->content[i]))
+		if (fg_av_none(e->resident[i]))
 			continue;
 		snprintf(st.slot[i].adapter, FG_NAME_BYTES, "%u",
-			 e->content[i].adapter);
+			 e->resident[i].adapter);
 		for (uint32_t k = 0; k < e->running->len; k++) {
 			uint32_t req = g_array_index(e->running, uint32_t, k);
 
-			if (fg_av_equal(s->t->a[req].av, e->content[i]))
+			if (fg_av_equal(s->t->arrivals[req].av, e->resident[i]))
 				st.slot[i].running++;
 		}
 	}
-	fg_grants_on_engine_state(e->grants, s->now, s->now, &st, find, NULL);
-	owner_pump(s, ep);
+	fg_grants_on_engine_state(e->grants, s->now, s->now, &st, find_adapter,
+				  NULL);
+	owner_serve_held(s, ep);
 }
--- a/tests/bench/place_router.c
+++ b/tests/bench/place_router.c
@@ -1,19 +1,19 @@
-/* The routers: queues per adapter, holding, needs and grants. */
+/* Simulates the routers: queues per adapter, needs, holding and grants. */
 #include <stdlib.h>
 
 #include "place_sim.h"
 
-#define BROKER_AT 0 /* the instance that is the broker */
+#define BROKER 0 /* instance that runs the broker */
 #define RETRY_MS 50
 
-static fg_ms deadline_of(const struct sim *s, uint32_t req)
+static fg_ms req_deadline(const struct sim *s, uint32_t req)
 {
-	return s->t->a[req].at + s->t->a[req].deadline_ms;
+	return s->t->arrivals[req].at + s->t->arrivals[req].deadline_ms;
 }
 
 static struct queue *get_queue(struct sim *s, uint32_t req)
 {
-	const struct arrival *a = &s->t->a[req];
+	const struct arrival *a = &s->t->arrivals[req];
 	GHashTable *queues = s->routers[a->router].queues;
 	uint64_t key = fg_av_key(a->av);
 	struct queue *q = g_hash_table_lookup(queues, &key);
@@ -27,21 +27,22 @@
 	return q;
 }
 
-/* The wait for a load, less what the broker holds a draft by choice. */
+/* Adds the wait for a load to the request's stall time. The broker's
+ * intentional hold of a draft counts as hold time instead. */
 static void end_wait(struct sim *s, uint32_t req)
 {
 	struct req *r = &s->reqs[req];
-	fg_ms wait = s->now - r->wait_from;
-	fg_ms held = 0;
+	fg_ms wait_ms = s->now - r->wait_start;
+	fg_ms hold_ms = 0;
 
-	if (s->own && s->t->a[req].cls == FG_CLASS_DRAFT)
-		held = fg_hold_ms(
+	if (s->is_gauge && s->t->arrivals[req].cls == FG_CLASS_DRAFT)
+		hold_ms = fg_hold_ms(
 			&s->d->preset,
-			(uint32_t)(deadline_of(s, req) - r->wait_from),
+			(uint32_t)(req_deadline(s, req) - r->wait_start),
 			s->d->service_p95_ms, LOAD_MS, 1, BATCH, false);
-	held = MIN(held, wait);
-	r->hold_ms += held;
-	r->stall_ms += wait - held;
+	hold_ms = MIN(hold_ms, wait_ms);
+	r->hold_ms += hold_ms;
+	r->stall_ms += wait_ms - hold_ms;
 }
 
 static void remove_req(GArray *list, uint32_t req)
@@ -54,17 +55,18 @@
 	}
 }
 
-static void finish(struct sim *s, uint32_t req, bool answered)
+static void end_request(struct sim *s, uint32_t req, bool answered)
 {
 	struct req *r = &s->reqs[req];
-	bool in_time = s->now <= deadline_of(s, req);
+	bool in_time = s->now <= req_deadline(s, req);
 
-	g_assert_cmpint(r->state, !=, REQ_OVER);
-	r->state = REQ_OVER;
+	g_assert_cmpint(r->state, !=, REQ_ENDED);
+	r->state = REQ_ENDED;
 	if (answered && in_time) {
 		s->result->answered++;
-		s->result->met[req] = true;
-	} else if (!answered && s->now - s->t->a[req].at <= REFUSED_NOW_MS) {
+		s->result->in_time[req] = true;
+	} else if (!answered &&
+		   s->now - s->t->arrivals[req].at <= REFUSED_AT_ONCE_MS) {
 		s->result->refused++;
 		r->stall_ms = -1;
 	} else {
@@ -74,13 +76,14 @@
 
 /* ---- Needs ---- */
 
-/* Tells the broker when it helps: first, when the queue has doubled, when a
- * deadline came closer, and when nobody waits any more. */
-static void tell_need(struct sim *s, uint32_t router, struct queue *q)
+/* Sends a NEED for the first waiting request, and again when the queue has
+ * doubled, the earliest deadline is earlier, a class is more urgent, or no
+ * request waits any longer. */
+static void send_need(struct sim *s, uint32_t router, struct queue *q)
 {
 	fg_msg m = { .body = { .type = FG_MSG_NEED } };
 	fg_need *need = &m.body.fg_body_u.need;
-	fg_ms first = FG_MS_NEVER;
+	fg_ms earliest = FG_MS_NEVER;
 
 	need->av = (fg_av){ (u_int)(q->key >> 32), (u_int)q->key };
 	need->waiting = q->waiting->len;
@@ -88,145 +91,150 @@
 	for (guint i = 0; i < q->waiting->len; i++) {
 		uint32_t req = g_array_index(q->waiting, uint32_t, i);
 
-		first = MIN(first, deadline_of(s, req));
-		need->cls = MIN(need->cls, (u_int)s->t->a[req].cls);
+		earliest = MIN(earliest, req_deadline(s, req));
+		need->cls = MIN(need->cls, (u_int)s->t->arrivals[req].cls);
 	}
-	if (q->waiting->len == q->announced ||
-	    (q->announced > 0 && q->waiting->len > 0 &&
-	     q->waiting->len < 2 * q->announced && first >= q->told_deadline &&
-	     need->cls >= q->told_cls))
+	if (q->waiting->len == q->sent_waiting ||
+	    (q->sent_waiting > 0 && q->waiting->len > 0 &&
+	     q->waiting->len < 2 * q->sent_waiting &&
+	     earliest >= q->sent_deadline && need->cls >= q->sent_cls))
 		return;
-	q->announced = q->waiting->len;
-	q->told_deadline = first;
-	q->told_cls = need->cls;
+	q->sent_waiting = q->waiting->len;
+	q->sent_deadline = earliest;
+	q->sent_cls = need->cls;
 	if (need->waiting > 0)
 		need->slack_ms =
-			(u_int)MAX(first - s->now - s->d->service_p95_ms, 0);
-	sim_count(s, &m, router, BROKER_AT);
-	sim_push(s, (struct ev){ .at = s->now + sim_net_ms(router, BROKER_AT),
-				 .type = EV_NEED,
-				 .router = router,
-				 .need = *need });
+			(u_int)MAX(earliest - s->now - s->d->service_p95_ms, 0);
+	sim_count_bytes(s, &m, router, BROKER);
+	sim_push_event(
+		s, (struct ev){ .at = s->now + sim_net_delay_ms(router, BROKER),
+				.type = EV_NEED,
+				.router = router,
+				.need = *need });
 }
 
 /* ---- Dispatch ---- */
 
-static void ask_grant(struct sim *s, uint32_t req, uint32_t ep)
+static void request_grant(struct sim *s, uint32_t req, uint32_t ep)
 {
 	fg_msg m = { .body = { .type = FG_MSG_GRANT_REQ } };
 	struct req *r = &s->reqs[req];
-	uint32_t router = s->t->a[req].router;
+	uint32_t router = s->t->arrivals[req].router;
 
-	r->state = REQ_ASKED;
+	r->state = REQ_GRANT_REQUESTED;
 	r->ep = ep;
 	r->attempt++;
 	fg_dir_add_own_grants(s->routers[router].dir, sim_ep_id(ep), 1);
-	sim_count(s, &m, router, sim_owner(ep));
-	sim_push(s,
-		 (struct ev){ .at = s->now + sim_net_ms(router, sim_owner(ep)),
-			      .type = EV_GRANT_REQ,
-			      .ep = ep,
-			      .router = router,
-			      .req = req,
-			      .attempt = r->attempt });
+	sim_count_bytes(s, &m, router, sim_ep_owner(ep));
+	sim_push_event(s, (struct ev){ .at = s->now +
+					     sim_net_delay_ms(router,
+							      sim_ep_owner(ep)),
+				       .type = EV_GRANT_REQ,
+				       .ep = ep,
+				       .router = router,
+				       .req = req,
+				       .attempt = r->attempt });
 }
 
-static struct fg_pick pick(struct sim *s, uint32_t req, uint64_t avoid)
+static struct fg_pick pick_endpoint(struct sim *s, uint32_t req, uint64_t avoid)
 {
-	const struct arrival *a = &s->t->a[req];
+	const struct arrival *a = &s->t->arrivals[req];
 
 	return fg_dir_pick_endpoint(s->routers[a->router].dir, s->now, "model",
 				    a->av, "region", false, &avoid, 1, 0);
 }
 
-static void dispatch(struct sim *s, uint32_t req, uint64_t avoid)
+static void dispatch_request(struct sim *s, uint32_t req, uint64_t avoid)
 {
-	struct fg_pick p = pick(s, req, avoid);
+	struct fg_pick p = pick_endpoint(s, req, avoid);
 	struct req *r = &s->reqs[req];
 	struct queue *q;
 
 	if (p.resident) {
-		ask_grant(s, req, (uint32_t)p.ep - 1);
+		request_grant(s, req, (uint32_t)p.ep - 1);
 		return;
 	}
 	q = get_queue(s, req);
 	r->state = REQ_WAITING;
-	r->wait_from = s->now;
+	r->wait_start = s->now;
 	g_array_append_val(q->waiting, req);
-	tell_need(s, s->t->a[req].router, q);
+	send_need(s, s->t->arrivals[req].router, q);
 }
 
-void router_arrive(struct sim *s, uint32_t req)
+void router_on_arrival(struct sim *s, uint32_t req)
 {
-	const struct arrival *a = &s->t->a[req];
+	const struct arrival *a = &s->t->arrivals[req];
 	struct router *r = &s->routers[a->router];
 	uint64_t key = fg_av_key(a->av);
-	uint64_t *count = g_hash_table_lookup(r->counts, &key);
+	uint64_t *count = g_hash_table_lookup(r->arrivals, &key);
 
 	if (count == NULL) {
 		count = g_new0(uint64_t, 2);
 		count[0] = key;
-		g_hash_table_insert(r->counts, count, count);
+		g_hash_table_insert(r->arrivals, count, count);
 	}
 	count[1]++;
 	s->reqs[req].tokens_left = a->tokens;
-	sim_push(s, (struct ev){ .at = deadline_of(s, req),
-				 .type = EV_DEADLINE,
-				 .req = req });
-	dispatch(s, req, 0);
+	sim_push_event(s, (struct ev){ .at = req_deadline(s, req),
+				       .type = EV_DEADLINE,
+				       .req = req });
+	dispatch_request(s, req, 0);
 }
 
-/* ---- Answers ---- */
+/* ---- Replies and notifications ---- */
 
-void router_grant_rep(struct sim *s, const struct ev *ev)
+void router_on_grant_rep(struct sim *s, const struct ev *ev)
 {
 	struct req *r = &s->reqs[ev->req];
 	struct router *router = &s->routers[ev->router];
 
 	if (ev->status != FG_GRANT_OK) {
 		fg_dir_add_own_grants(router->dir, sim_ep_id(ev->ep), -1);
-		if (r->state != REQ_ASKED || r->attempt != ev->attempt)
+		if (r->state != REQ_GRANT_REQUESTED ||
+		    r->attempt != ev->attempt)
 			return;
 		if (ev->status == FG_GRANT_NO_TIME)
-			finish(s, ev->req, false);
+			end_request(s, ev->req, false);
 		else
-			dispatch(s, ev->req, sim_ep_id(ev->ep));
+			dispatch_request(s, ev->req, sim_ep_id(ev->ep));
 		return;
 	}
 	r->grant = ev->id;
-	r->cancelled = r->state != REQ_ASKED;
-	if (r->state == REQ_ASKED)
+	r->cancelled = r->state != REQ_GRANT_REQUESTED;
+	if (r->state == REQ_GRANT_REQUESTED)
 		r->state = REQ_RUNNING;
-	sim_push(s, (struct ev){ .at = s->now + NET_MS,
-				 .type = EV_RUN,
-				 .ep = ev->ep,
-				 .req = ev->req });
+	sim_push_event(s, (struct ev){ .at = s->now + NET_MS,
+				       .type = EV_RUN,
+				       .ep = ev->ep,
+				       .req = ev->req });
 }
 
-void router_run_end(struct sim *s, const struct ev *ev)
+void router_on_run_end(struct sim *s, const struct ev *ev)
 {
 	struct req *r = &s->reqs[ev->req];
-	uint32_t router = s->t->a[ev->req].router;
+	uint32_t router = s->t->arrivals[ev->req].router;
 	fg_msg m = { .body = { .type = FG_MSG_RELEASE } };
 
 	fg_dir_add_own_grants(s->routers[router].dir, sim_ep_id(r->ep), -1);
-	sim_count(s, &m, router, sim_owner(r->ep));
-	sim_push(s, (struct ev){ .at = s->now +
-				       sim_net_ms(router, sim_owner(r->ep)),
-				 .type = EV_RELEASE,
-				 .ep = r->ep,
-				 .id = r->grant });
-	if (r->state == REQ_OVER)
+	sim_count_bytes(s, &m, router, sim_ep_owner(r->ep));
+	sim_push_event(s,
+		       (struct ev){ .at = s->now +
+					  sim_net_delay_ms(router,
+							   sim_ep_owner(r->ep)),
+				    .type = EV_RELEASE,
+				    .ep = r->ep,
+				    .id = r->grant });
+	if (r->state == REQ_ENDED)
 		return;
 	if (ev->status) {
-		finish(s, ev->req, true);
+		end_request(s, ev->req, true);
 		return;
 	}
-	r->tokens_left = s->t->a[ev->req].tokens;
-	dispatch(s, ev->req, sim_ep_id(r->ep));
+	r->tokens_left = s->t->arrivals[ev->req].tokens;
+	dispatch_request(s, ev->req, sim_ep_id(r->ep));
 }
 
-static void serve_waiting(struct sim *s, uint32_t router, struct queue *q)
+static void dispatch_waiting(struct sim *s, uint32_t router, struct queue *q)
 {
 	GArray *waiting = q->waiting;
 
@@ -235,17 +243,17 @@
 		uint32_t req = g_array_index(waiting, uint32_t, i);
 
 		end_wait(s, req);
-		dispatch(s, req, 0);
+		dispatch_request(s, req, 0);
 	}
 	g_array_free(waiting, TRUE);
-	tell_need(s, router, q);
+	send_need(s, router, q);
 }
 
-void router_resident(struct sim *s, const struct ev *ev)
+void router_on_resident(struct sim *s, const struct ev *ev)
 {
 	struct router *r = &s->routers[ev->router];
 
-	if (ev->router == BROKER_AT)
+	if (ev->router == BROKER)
 		fg_dir_on_resident(s->broker_dir, s->now, ev->resident);
 	if (!fg_dir_on_resident(r->dir, s->now, ev->resident))
 		return;
@@ -254,12 +262,13 @@
 		struct queue *q = g_hash_table_lookup(r->queues, &key);
 
 		if (q != NULL && q->waiting->len > 0)
-			serve_waiting(s, ev->router, q);
+			dispatch_waiting(s, ev->router, q);
 	}
 }
 
-/* Answers those with the least slack; the others are announced again. */
-void router_refusal(struct sim *s, const struct ev *ev)
+/* Refuses the requests whose deadline is at most that of the last NEED, and
+ * sends a new NEED for the others. */
+void router_on_refusal(struct sim *s, const struct ev *ev)
 {
 	struct router *r = &s->routers[ev->router];
 	uint64_t key = fg_av_key(ev->place.av);
@@ -271,36 +280,36 @@
 	for (guint i = 0; i < q->waiting->len; i++) {
 		uint32_t req = g_array_index(q->waiting, uint32_t, i);
 
-		if (deadline_of(s, req) > q->told_deadline) {
+		if (req_deadline(s, req) > q->sent_deadline) {
 			g_array_index(q->waiting, uint32_t, kept++) = req;
 			continue;
 		}
 		end_wait(s, req);
-		finish(s, req, false);
+		end_request(s, req, false);
 	}
 	g_array_set_size(q->waiting, kept);
-	q->announced = 0;
-	tell_need(s, ev->router, q);
+	q->sent_waiting = 0;
+	send_need(s, ev->router, q);
 }
 
-void router_deadline(struct sim *s, uint32_t req)
+void router_on_deadline(struct sim *s, uint32_t req)
 {
 	struct req *r = &s->reqs[req];
 	struct queue *q;
 
-	if (r->state == REQ_OVER)
+	if (r->state == REQ_ENDED)
 		return;
 	r->cancelled = true;
 	if (r->state == REQ_WAITING) {
 		q = get_queue(s, req);
 		end_wait(s, req);
 		remove_req(q->waiting, req);
-		tell_need(s, s->t->a[req].router, q);
+		send_need(s, s->t->arrivals[req].router, q);
 	}
-	finish(s, req, false);
+	end_request(s, req, false);
 }
 
-void router_heat(struct sim *s, uint32_t router)
+void router_send_heat(struct sim *s, uint32_t router)
 {
 	struct router *r = &s->routers[router];
 	fg_msg m = { .body = { .type = FG_MSG_HEAT } };
@@ -310,7 +319,7 @@
 	gpointer value;
 
 	heat->items.items_val = items;
-	g_hash_table_iter_init(&it, r->counts);
+	g_hash_table_iter_init(&it, r->arrivals);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const uint64_t *count = value;
 		fg_heat_item *item = &items[heat->items.items_len++];
@@ -323,7 +332,7 @@
 	}
 	if (heat->items.items_len == 0)
 		return;
-	sim_count(s, &m, router, BROKER_AT);
+	sim_count_bytes(s, &m, router, BROKER);
 	fg_broker_on_heat(s->broker, s->now, heat);
 }
 
@@ -344,6 +353,6 @@
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		queue_free(value);
 	g_hash_table_destroy(r->queues);
-	g_hash_table_destroy(r->counts);
+	g_hash_table_destroy(r->arrivals);
 	fg_dir_free(r->dir);
 }
--- a/tests/bench/slopes_fit.c
+++ b/tests/bench/slopes_fit.c
@@ -1,4 +1,4 @@
-/* Measuring and fitting for bench_slopes. */
+/* Measures processor time and memory, and fits series, for bench_slopes. */
 #include <glib.h>
 #include <malloc.h>
 #include <stdio.h>
@@ -8,27 +8,28 @@
 
 /* ---- Series and their fit ---- */
 
-void slopes_series(const char *per, const double *x, const struct series *s)
+void slopes_print_series(const char *per, const double *x,
+			 const struct series *s)
 {
-	double mx = 0, my = 0, xy = 0, xx = 0, slope;
+	double mean_x = 0, mean_y = 0, sum_xy = 0, sum_xx = 0, slope;
 
 	for (int i = 0; i < SIZES; i++) {
-		mx += x[i] / SIZES;
-		my += s->y[i] / SIZES;
+		mean_x += x[i] / SIZES;
+		mean_y += s->y[i] / SIZES;
 	}
 	for (int i = 0; i < SIZES; i++) {
-		xy += (x[i] - mx) * (s->y[i] - my);
-		xx += (x[i] - mx) * (x[i] - mx);
+		sum_xy += (x[i] - mean_x) * (s->y[i] - mean_y);
+		sum_xx += (x[i] - mean_x) * (x[i] - mean_x);
 	}
-	slope = xy / xx;
+	slope = sum_xy / sum_xx;
 	printf("  %-38s", s->name);
 	for (int i = 0; i < SIZES; i++)
 		printf(" %10.3g", s->y[i]);
-	printf("   %10.4g + %.4g x %s %s\n", my - slope * mx, slope, per,
-	       s->unit);
+	printf("   %10.4g + %.4g x %s %s\n", mean_y - slope * mean_x, slope,
+	       per, s->unit);
 }
 
-void slopes_header(const char *title, const char *per, const double *x)
+void slopes_print_header(const char *title, const char *per, const double *x)
 {
 	printf("%s\n  %-38s", title, per);
 	for (int i = 0; i < SIZES; i++)
--- a/tests/bench/slopes_roles.c
+++ b/tests/bench/slopes_roles.c
@@ -1,4 +1,4 @@
-/* Slopes of the roles of a node: config, router, owner; list of all. */
+/* Measures configuration, router and owner; lists the series of all roles. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -8,12 +8,12 @@
 #include "place/fg_place.h"
 #include "slopes_roles.h"
 
-#define OWNED 5	     /* engines of one owner */
-#define EVENTS 50000 /* of one kind, to be timed */
+#define OWNED_ENGINES 5 /* engines of one owner */
+#define EVENTS 50000	/* timed operations of one kind */
 #define CHANGES 1000
-#define STRIDE 7919 /* visits adapters out of order */
+#define STRIDE 7919 /* prime step that visits adapters out of order */
 
-typedef void (*measure_fn)(struct series *s, int at, int size);
+typedef void (*measure_fn)(struct series *s, int idx, int size);
 
 /* ---- Configuration ---- */
 
@@ -53,33 +53,34 @@
 	for (int i = 0; i < EVENTS; i++)
 		g_snprintf(names[i], sizeof(names[i]), "adapter-%05d",
 			   (int)((int64_t)i * STRIDE % n));
-	start = slopes_thread_us();
+	start = slopes_thread_cpu_us();
 	for (int i = 0; i < EVENTS; i++)
 		if (fg_config_resolve(c, "caller", names[i], "", &av) !=
 		    FG_R_NONE)
 			g_error("cannot resolve %s", names[i]);
-	return (slopes_thread_us() - start) / EVENTS;
+	return (slopes_thread_cpu_us() - start) / EVENTS;
 }
 
-static void measure_config(struct series *s, int at, int n)
+static void measure_config(struct series *s, int idx, int n)
 {
 	double start, heap = slopes_heap_bytes();
 	struct fg_config *c = fg_config_new();
 
 	for (int i = 0; i < n; i++)
 		add_adapter(c, i);
-	s[0].y[at] = slopes_heap_bytes() - heap;
-	start = slopes_thread_us();
+	s[0].y[idx] = slopes_heap_bytes() - heap;
+	start = slopes_thread_cpu_us();
 	for (int i = 0; i < CHANGES; i++)
 		change_right(c, n, i);
-	s[1].y[at] = (slopes_thread_us() - start) / CHANGES;
-	s[2].y[at] = resolve_us(c, n);
+	s[1].y[idx] = (slopes_thread_cpu_us() - start) / CHANGES;
+	s[2].y[idx] = resolve_us(c, n);
 	fg_config_free(c);
 }
 
 /* ---- Router: directory and heat ---- */
 
-static void tell(struct fg_dir *d, uint32_t ep, uint64_t seq, uint32_t shift)
+static void apply_resident(struct fg_dir *d, uint32_t ep, uint64_t seq,
+			   uint32_t shift)
 {
 	fg_av av[SLOTS];
 	fg_resident r = {
@@ -91,59 +92,59 @@
 	fg_dir_on_resident(d, 0, &r);
 }
 
-struct fg_dir *slopes_dir(uint32_t n)
+struct fg_dir *slopes_new_dir(uint32_t n)
 {
 	struct fg_dir *d = fg_dir_new(1);
 
 	for (uint32_t ep = 0; ep < n; ep++) {
 		fg_dir_set_endpoint(d, ep + 1, SERVICE, REGION, "dc", false);
-		tell(d, ep, 1, 0);
+		apply_resident(d, ep, 1, 0);
 	}
 	return d;
 }
 
-static void measure_dir(struct series *s, int at, int size)
+static void measure_dir(struct series *s, int idx, int size)
 {
 	uint32_t n = (uint32_t)size;
 	double start, heap = slopes_heap_bytes();
-	struct fg_dir *d = slopes_dir(n);
+	struct fg_dir *d = slopes_new_dir(n);
 
-	s[0].y[at] = slopes_heap_bytes() - heap;
-	start = slopes_thread_us();
+	s[0].y[idx] = slopes_heap_bytes() - heap;
+	start = slopes_thread_cpu_us();
 	for (uint32_t i = 0; i < EVENTS; i++)
 		fg_dir_pick_endpoint(d, 0, SERVICE, slopes_av(i * STRIDE),
 				     REGION, false, NULL, 0, 0);
-	s[1].y[at] = (slopes_thread_us() - start) / EVENTS;
-	start = slopes_thread_us();
+	s[1].y[idx] = (slopes_thread_cpu_us() - start) / EVENTS;
+	start = slopes_thread_cpu_us();
 	for (uint32_t i = 0; i < EVENTS; i++)
-		tell(d, i % n, i + 2, i);
-	s[2].y[at] = (slopes_thread_us() - start) / EVENTS;
-	start = slopes_thread_us();
-	for (uint32_t i = 0; i < EVENTS; i++) /* the last list again */
-		tell(d, (EVENTS - 1) % n, EVENTS + i + 2, EVENTS - 1);
-	s[3].y[at] = (slopes_thread_us() - start) / EVENTS;
+		apply_resident(d, i % n, i + 2, i);
+	s[2].y[idx] = (slopes_thread_cpu_us() - start) / EVENTS;
+	start = slopes_thread_cpu_us();
+	for (uint32_t i = 0; i < EVENTS; i++) /* repeats the last list */
+		apply_resident(d, (EVENTS - 1) % n, EVENTS + i + 2, EVENTS - 1);
+	s[3].y[idx] = (slopes_thread_cpu_us() - start) / EVENTS;
 	fg_dir_free(d);
 }
 
-static void measure_heat(struct series *s, int at, int n)
+static void measure_heat(struct series *s, int idx, int n)
 {
 	double start, heap = slopes_heap_bytes();
 	struct fg_heat_table *h = fg_heat_new(300000);
 
 	for (uint32_t i = 1; i <= (uint32_t)n; i++)
 		fg_heat_add(h, 0, (fg_av){ i, 1 }, 1);
-	s[0].y[at] = slopes_heap_bytes() - heap;
-	start = slopes_thread_us();
+	s[0].y[idx] = slopes_heap_bytes() - heap;
+	start = slopes_thread_cpu_us();
 	for (uint32_t i = 0; i < EVENTS; i++)
 		fg_heat_add(h, 1, (fg_av){ i * STRIDE % (uint32_t)n + 1, 1 },
 			    1);
-	s[1].y[at] = (slopes_thread_us() - start) / EVENTS;
+	s[1].y[idx] = (slopes_thread_cpu_us() - start) / EVENTS;
 	fg_heat_free(h);
 }
 
 /* ---- Owner: grants ---- */
 
-static struct fg_grants *engine_of(uint64_t ep)
+static struct fg_grants *new_full_grants(uint64_t ep)
 {
 	struct fg_grants_conf conf = {
 		ep, 1, SLOTS, BATCH, RUN_MS, BATCH, false
@@ -163,48 +164,48 @@
 	return g;
 }
 
-static uint64_t grant(struct fg_grants *g, uint32_t req)
+static uint64_t request_grant(struct fg_grants *g, uint32_t req)
 {
-	struct fg_grant_request ask = { .holder = 9,
-					.req_id = req + 1,
-					.av = slopes_av(req % SLOTS),
-					.cls = FG_CLASS_INTERACTIVE,
-					.budget_ms = RUN_MS / 2 };
+	struct fg_grant_request request = { .holder = 9,
+					    .req_id = req + 1,
+					    .av = slopes_av(req % SLOTS),
+					    .cls = FG_CLASS_INTERACTIVE,
+					    .budget_ms = RUN_MS / 2 };
 	uint64_t id = 0;
 
-	if (fg_grants_request(g, 2, &ask, &id) != FG_GRANT_OK)
+	if (fg_grants_request(g, 2, &request, &id) != FG_GRANT_OK)
 		g_error("no grant for request %u", req);
 	return id;
 }
 
-static void measure_grants(struct series *s, int at, int size)
+static void measure_grants(struct series *s, int idx, int size)
 {
 	uint32_t n = (uint32_t)size;
 	double start, heap = slopes_heap_bytes();
-	uint64_t ids[OWNED * BATCH];
-	struct fg_grants *g[OWNED];
+	uint64_t ids[OWNED_ENGINES * BATCH];
+	struct fg_grants *g[OWNED_ENGINES];
 
-	for (uint32_t i = 0; i < OWNED; i++)
-		g[i] = engine_of(i + 1);
+	for (uint32_t i = 0; i < OWNED_ENGINES; i++)
+		g[i] = new_full_grants(i + 1);
 	for (uint32_t i = 0; i < n; i++)
-		ids[i] = grant(g[i % OWNED], i);
-	s[0].y[at] = slopes_heap_bytes() - heap;
-	start = slopes_thread_us();
+		ids[i] = request_grant(g[i % OWNED_ENGINES], i);
+	s[0].y[idx] = slopes_heap_bytes() - heap;
+	start = slopes_thread_cpu_us();
 	for (uint32_t i = 0; i < EVENTS; i++) {
 		uint32_t k = i % n;
 
-		fg_grants_release(g[k % OWNED], 2, ids[k]);
-		ids[k] = grant(g[k % OWNED], i + n);
+		fg_grants_release(g[k % OWNED_ENGINES], 2, ids[k]);
+		ids[k] = request_grant(g[k % OWNED_ENGINES], i + n);
 	}
-	s[1].y[at] = (slopes_thread_us() - start) / EVENTS;
-	s[2].y[at] = slopes_heap_bytes() - heap;
-	for (uint32_t i = 0; i < OWNED; i++)
+	s[1].y[idx] = (slopes_thread_cpu_us() - start) / EVENTS;
+	s[2].y[idx] = slopes_heap_bytes() - heap;
+	for (uint32_t i = 0; i < OWNED_ENGINES; i++)
 		fg_grants_free(g[i]);
 }
 
-/* ---- All of them ---- */
+/* ---- All roles ---- */
 
-static void print_bytes(fg_msg_type type, u_int n)
+static void print_msg_bytes(fg_msg_type type, u_int n)
 {
 	fg_msg *m = fg_msg_new(type);
 	fg_av av[SLOTS] = { 0 };
@@ -221,15 +222,15 @@
 	fg_msg_free(m);
 }
 
-struct part {
+struct role_case {
 	const char *title;
 	const char *per;
 	int sizes[SIZES];
 	measure_fn measure;
-	struct series s[6]; /* up to one without a name */
+	struct series s[6]; /* ends with an entry without a name */
 };
 
-static const struct part parts[] = {
+static const struct role_case role_cases[] = {
 	{ "config",
 	  "adapters",
 	  { 8000, 16000, 32000, 65000 },
@@ -260,7 +261,7 @@
 	{ "broker, 725 engines",
 	  "needs/s",
 	  { 5, 10, 20, 40 },
-	  slopes_broker,
+	  slopes_measure_broker,
 	  { { "one need", "us", { 0 } },
 	    { "one tick of 20 ms, and replies", "us", { 0 } },
 	    { "processor time", "us/s", { 0 } },
@@ -269,7 +270,7 @@
 	{ "broker, 20 needs a second",
 	  "engines",
 	  { 90, 180, 360, 725 },
-	  slopes_broker_engines,
+	  slopes_measure_broker_engines,
 	  { { "one need", "us", { 0 } },
 	    { "one tick of 20 ms, and replies", "us", { 0 } },
 	    { "processor time", "us/s", { 0 } },
@@ -278,33 +279,33 @@
 	{ "ledger, no window, ticks of 1 ms",
 	  "filings/s",
 	  { 1, 10, 50, 100 },
-	  slopes_ledger,
+	  slopes_measure_ledger,
 	  { { "processor time", "us/s", { 0 } },
 	    { "transactions a filing", "", { 0 } },
 	    { "heap after 60 s", "B", { 0 } } } },
 };
 
-static void run_part(struct part p)
+static void run_role_case(struct role_case c)
 {
 	double x[SIZES];
 
 	for (int i = 0; i < SIZES; i++) {
-		x[i] = p.sizes[i];
-		p.measure(p.s, i, p.sizes[i]);
+		x[i] = c.sizes[i];
+		c.measure(c.s, i, c.sizes[i]);
 	}
-	slopes_header(p.title, p.per, x);
-	for (struct series *s = p.s; s->name != NULL; s++)
-		slopes_series(p.per, x, s);
+	slopes_print_header(c.title, c.per, x);
+	for (struct series *s = c.s; s->name != NULL; s++)
+		slopes_print_series(c.per, x, s);
 }
 
-void slopes_roles(void)
+void slopes_measure_roles(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(parts); i++)
-		run_part(parts[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(role_cases); i++)
+		run_role_case(role_cases[i]);
 	printf("messages, without the frame\n");
-	print_bytes(FG_MSG_NEED, 1);
-	print_bytes(FG_MSG_PLACE, 1);
-	print_bytes(FG_MSG_PLACE_REP, 1);
-	print_bytes(FG_MSG_RESIDENT, SLOTS);
-	print_bytes(FG_MSG_HEAT, 20);
+	print_msg_bytes(FG_MSG_NEED, 1);
+	print_msg_bytes(FG_MSG_PLACE, 1);
+	print_msg_bytes(FG_MSG_PLACE_REP, 1);
+	print_msg_bytes(FG_MSG_RESIDENT, SLOTS);
+	print_msg_bytes(FG_MSG_HEAT, 20);
 }
