--- a/tests/fuzz/fuzz_answer.c
+++ b/tests/fuzz/fuzz_answer.c
@@ -1,7 +1,7 @@
 /*
- * Fuzzes the reading of an engine's answer. Whatever comes, in whatever pieces,
- * an answer counts as whole only with its end mark, and never after a piece
- * that was refused.
+ * Fuzzes the check of an engine's answer, which arrives in two pieces. An
+ * answer is whole only if its end mark came, no piece was refused and the
+ * engine reported no error.
  */
 #include <stdlib.h>
 
--- a/tests/fuzz/fuzz_config.c
+++ b/tests/fuzz/fuzz_config.c
@@ -1,6 +1,6 @@
 /*
- * Fuzzes changes and snapshots of the catalogue. A change that is refused
- * leaves the catalogue as it was; exactly one preset is in force throughout.
+ * Fuzzes changes and snapshots of the catalogue. A refused change leaves the
+ * catalogue unchanged. Exactly one preset is in force at all times.
  */
 #include <glib.h>
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static void apply(struct fg_config *c, const char *text)
+static void apply_change(struct fg_config *c, const char *text)
 {
 	char *before = fg_config_snapshot(c);
 	char *after;
@@ -28,7 +28,7 @@
 	struct fg_config *c = fg_config_new();
 	char *text = g_strndup((const char *)data, size);
 
-	apply(c, text);
+	apply_change(c, text);
 	fg_config_restore(c, text, NULL);
 	if (fg_config_preset(c)->name[0] == '\0')
 		abort();
--- a/tests/fuzz/fuzz_h1.c
+++ b/tests/fuzz/fuzz_h1.c
@@ -1,4 +1,9 @@
-/* Heads and bodies of callers and endpoints, in pieces, with what follows. */
+/*
+ * Fuzzes the HTTP/1 parser and the parsers of heads and event streams. The
+ * first byte selects requests of callers or replies of endpoints (bit 0) and
+ * the size of the pieces that the rest is fed in. Several messages may follow
+ * each other.
+ */
 #include <stdint.h>
 #include <string.h>
 
@@ -9,21 +14,21 @@
 #define HEAD_MAX_BYTES 1024
 #define BODY_MAX_BYTES 2048
 
-struct seen {
+struct parse_state {
 	struct fg_events events;
-	bool requests;
+	bool is_request;
 };
 
 static bool on_head(void *ctx, const struct fg_h1_head *head)
 {
-	const struct seen *s = ctx;
+	const struct parse_state *s = ctx;
 	struct fg_send send = { .has_body = true };
 	struct fg_wire_reply reply;
 	struct fg_lookup lookup;
 	struct fg_call call;
 	GString *out;
 
-	if (!s->requests) {
+	if (!s->is_request) {
 		fgp_wire.reply_read(head, &reply);
 		return true;
 	}
@@ -39,7 +44,7 @@
 
 static void on_body(void *ctx, const char *data, size_t len)
 {
-	struct seen *s = ctx;
+	struct parse_state *s = ctx;
 	gssize n = fg_events_feed(&s->events, data, len);
 
 	if (n > 0)
@@ -57,21 +62,22 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	struct seen s = { 0 };
+	struct parse_state s = { 0 };
 	struct fg_h1 h;
-	size_t at = 1;
-	size_t piece;
+	size_t offset = 1;
+	size_t piece_bytes;
 
 	if (size < 2)
 		return 0;
-	s.requests = (data[0] & 1) != 0;
-	piece = 1 + (data[0] >> 1);
+	s.is_request = (data[0] & 1) != 0;
+	piece_bytes = 1 + (data[0] >> 1);
 	fg_events_init(&s.events);
-	fg_h1_init(&h, s.requests, &ops, &s, HEAD_MAX_BYTES, BODY_MAX_BYTES);
-	while (at < size && h.fault == FG_H1_OK) {
-		size_t n = size - at < piece ? size - at : piece;
+	fg_h1_init(&h, s.is_request, &ops, &s, HEAD_MAX_BYTES, BODY_MAX_BYTES);
+	while (offset < size && h.fault == FG_H1_OK) {
+		size_t n = size - offset < piece_bytes ? size - offset
+						       : piece_bytes;
 
-		at += fg_h1_feed(&h, (const char *)data + at, n);
+		offset += fg_h1_feed(&h, (const char *)data + offset, n);
 		if (h.ended)
 			fg_h1_next(&h);
 	}
--- a/tests/fuzz/fuzz_history.c
+++ b/tests/fuzz/fuzz_history.c
@@ -1,4 +1,5 @@
-/* Fuzzes the history checker: any text is refused or decided. */
+/* Fuzzes the history checker: each text is refused, or each promise gets a
+ * valid verdict. */
 #include <stdlib.h>
 
 #include "check/fg_check.h"
--- a/tests/fuzz/fuzz_msg.c
+++ b/tests/fuzz/fuzz_msg.c
@@ -1,6 +1,6 @@
 /*
- * Fuzzes the decoding of inner messages. What decodes must encode, and the
- * encoding must be stable.
+ * Fuzzes the decoding of inner messages. A decoded batch can be encoded, and
+ * decoding and encoding it again gives the same bytes.
  */
 #include <assert.h>
 #include <stdbool.h>
@@ -34,7 +34,7 @@
 	return xdr_fg_batch(&xdr, batch);
 }
 
-static void copy_messages(const fg_batch *batch)
+static void check_copies(const fg_batch *batch)
 {
 	for (u_int i = 0; i < batch->msgs.msgs_len; i++) {
 		const fg_msg *m = &batch->msgs.msgs_val[i];
@@ -48,20 +48,21 @@
 	}
 }
 
-static void check_stable(fg_batch *batch)
+static void check_round_trip(fg_batch *batch)
 {
-	u_int len_bytes, again_bytes;
-	char *first = encode(batch, &len_bytes);
-	fg_batch twin;
-	char *again;
+	u_int first_bytes, second_bytes;
+	char *first = encode(batch, &first_bytes);
+	fg_batch decoded;
+	char *second;
 
-	if (!decode(first, len_bytes, &twin))
+	if (!decode(first, first_bytes, &decoded))
 		abort();
-	again = encode(&twin, &again_bytes);
-	if (len_bytes != again_bytes || memcmp(first, again, len_bytes) != 0)
+	second = encode(&decoded, &second_bytes);
+	if (first_bytes != second_bytes ||
+	    memcmp(first, second, first_bytes) != 0)
 		abort();
-	xdr_free((xdrproc_t)xdr_fg_batch, &twin);
-	free(again);
+	xdr_free((xdrproc_t)xdr_fg_batch, &decoded);
+	free(second);
 	free(first);
 }
 
@@ -70,8 +71,8 @@
 	fg_batch batch;
 
 	if (decode((const char *)data, size, &batch)) {
-		copy_messages(&batch);
-		check_stable(&batch);
+		check_copies(&batch);
+		check_round_trip(&batch);
 	}
 	xdr_free((xdrproc_t)xdr_fg_batch, &batch);
 	return 0;
--- a/tests/fuzz/fuzz_settings.c
+++ b/tests/fuzz/fuzz_settings.c
@@ -1,7 +1,5 @@
-/*
- * Fuzzes the reading of settings: a text gives settings or an error, never
- * both or neither.
- */
+/* Fuzzes the parsing of settings: each text gives either settings or an error,
+ * never both or neither. */
 #include <glib.h>
 #include <stdlib.h>
 
--- a/tests/fuzz/fuzz_wire.c
+++ b/tests/fuzz/fuzz_wire.c
@@ -1,4 +1,7 @@
-/* Rows, configurations, entries, reports, packets and instance rows. */
+/*
+ * Fuzzes the parsers of rows, configurations, announcements, entries, reports,
+ * packets and instance rows. The first byte selects the parser.
+ */
 #include <stdint.h>
 #include <string.h>
 
@@ -6,7 +9,7 @@
 #include "mesh/fg_mesh.h"
 #include "mesh/fg_peers.h"
 
-enum kind {
+enum input_kind {
 	ROWS,
 	CONFIG,
 	ANNOUNCEMENT,
@@ -14,10 +17,10 @@
 	REPORT,
 	PACKET,
 	PEER,
-	KINDS
+	KIND_COUNT
 };
 
-static void parse(enum kind kind, const char *text, size_t len)
+static void parse_input(enum input_kind kind, const char *text, size_t len)
 {
 	struct fg_announcement announcement;
 	struct fg_store_rows rows;
@@ -62,7 +65,7 @@
 	if (size < 1)
 		return 0;
 	text = g_strndup((const char *)data + 1, size - 1);
-	parse((enum kind)(data[0] % KINDS), text, size - 1);
+	parse_input((enum input_kind)(data[0] % KIND_COUNT), text, size - 1);
 	g_free(text);
 	return 0;
 }
