--- a/lib/config/fg_confsync_change.c
+++ b/lib/config/fg_confsync_change.c
@@ -62,8 +62,8 @@
 	next.revision = ch->target_revision;
 	text = cs_format_head(&next);
 	cs_format_rev_key(key, ch->target_revision);
-	fg_table_op_write(op, CS_HEAD_KEY, head->row_version, text);
-	fg_table_op_write(op, key, 0, ch->text);
+	fg_table_op_add_write(op, CS_HEAD_KEY, head->row_version, text);
+	fg_table_op_add_write(op, key, 0, ch->text);
 	ch->state = CS_CH_WRITING;
 	s->write.op = op->id;
 	s->write.sent_at = s->now;
@@ -269,7 +269,7 @@
 		on_stored(s, ch);
 		return;
 	}
-	if (result == FG_PF_LOST || result == FG_PF_BAD)
+	if (result == FG_PF_LOST || result == FG_PF_BAD_ANSWER)
 		ch->maybe_written = true;
 	ch->state = CS_CH_VERIFY_HEAD;
 	if (result != FG_PF_CONFLICT)
--- a/lib/config/fg_confsync_snap.c
+++ b/lib/config/fg_confsync_snap.c
@@ -91,7 +91,7 @@
 		next.draft_parts = 0;
 	}
 	text = cs_format_head(&next);
-	fg_table_op_write(op, CS_HEAD_KEY, sn->head.row_version, text);
+	fg_table_op_add_write(op, CS_HEAD_KEY, sn->head.row_version, text);
 	return op;
 }
 
@@ -103,8 +103,8 @@
 	char key[FG_ROW_KEY_MAX];
 
 	cs_format_part_key(key, sn->revision, sn->next_part);
-	fg_table_op_write(op, key, FG_ANY_VERSION,
-			  g_ptr_array_index(sn->parts, sn->next_part));
+	fg_table_op_add_write(op, key, FG_ANY_VERSION,
+			      g_ptr_array_index(sn->parts, sn->next_part));
 	return op;
 }
 
@@ -116,8 +116,9 @@
 	guint end = MIN(sn->next_obsolete + FG_TXN_MAX, sn->obsolete_keys->len);
 
 	for (guint i = sn->next_obsolete; i < end; i++)
-		fg_table_op_write(op, g_ptr_array_index(sn->obsolete_keys, i),
-				  FG_ANY_VERSION, NULL);
+		fg_table_op_add_write(op,
+				      g_ptr_array_index(sn->obsolete_keys, i),
+				      FG_ANY_VERSION, NULL);
 	return op;
 }
 
--- a/lib/endpoint/fg_answer.c
+++ b/lib/endpoint/fg_answer.c
@@ -95,12 +95,12 @@
 	return !a->broken;
 }
 
-bool fg_answer_whole(const struct fg_answer *a)
+bool fg_answer_is_whole(const struct fg_answer *a)
 {
 	return a->ended && !a->broken && a->line->len == 0;
 }
 
-bool fg_answer_error(const struct fg_answer *a)
+bool fg_answer_has_error(const struct fg_answer *a)
 {
 	return a->error;
 }
--- a/lib/endpoint/fg_endpoint.h
+++ b/lib/endpoint/fg_endpoint.h
@@ -44,7 +44,7 @@
 	FG_RUN_NOT_LOADED = 3, /* refused: adapter or version not loaded */
 	FG_RUN_ERROR = 4,      /* it ran and the endpoint reported an error */
 	FG_RUN_LOST = 5,       /* connection or endpoint died after sending */
-	FG_RUN_BAD = 6,	       /* answer truncated, crossed or garbled */
+	FG_RUN_BAD_ANSWER = 6, /* answer truncated, crossed or garbled */
 	FG_RUN_TIMEOUT = 7,    /* no whole answer before the hard deadline */
 	FG_RUN_CANCELLED = 8,
 };
@@ -54,9 +54,9 @@
 	char *text; /* the whole answer, g_malloc'ed; NULL unless DONE */
 	uint32_t tokens;
 	uint32_t service_ms;
-	uint32_t pieces; /* passed to on_text */
-	bool ran_none;	 /* with a failure: provably never ran */
-	bool leaving;	 /* with REFUSED: because the endpoint is leaving */
+	uint32_t n_pieces; /* passed to on_text */
+	bool not_run;	   /* with a failure: provably never ran */
+	bool leaving;	   /* with REFUSED: because the endpoint is leaving */
 };
 
 /* What an engine says of itself, read by its owner. */
@@ -110,11 +110,11 @@
 	void (*run)(const struct fg_listed *ep, const struct fg_run_req *req,
 		    void (*on_text)(void *arg, const char *piece), void *arg,
 		    const volatile int *cancel, struct fg_run_result *out);
-	enum fg_order_status (*order)(const struct fg_listed *ep,
-				      const struct fg_order *order);
-	enum fg_pf_result (*state)(const struct fg_listed *ep,
-				   uint32_t timeout_ms,
-				   struct fg_engine_state *out);
+	enum fg_order_status (*send_order)(const struct fg_listed *ep,
+					   const struct fg_order *order);
+	enum fg_pf_result (*read_state)(const struct fg_listed *ep,
+					uint32_t timeout_ms,
+					struct fg_engine_state *out);
 };
 
 /* HTTP to engines and plain services through libcurl; thread safe. */
@@ -135,10 +135,10 @@
 bool fg_answer_feed(struct fg_answer *a, const char *data, size_t len_bytes);
 
 /* True when the end mark came and all of it holds. */
-bool fg_answer_whole(const struct fg_answer *a);
+bool fg_answer_is_whole(const struct fg_answer *a);
 
 /* True when the engine reported that the request ran and failed. */
-bool fg_answer_error(const struct fg_answer *a);
+bool fg_answer_has_error(const struct fg_answer *a);
 
 /* The text so far; owned by the answer. */
 const char *fg_answer_text(const struct fg_answer *a);
--- a/lib/endpoint/fg_endpoint_http.c
+++ b/lib/endpoint/fg_endpoint_http.c
@@ -73,7 +73,7 @@
 {
 	json_t *o = json_loads(text != NULL ? text : "", 0, NULL);
 	const char *error = json_string_value(json_object_get(o, "error"));
-	enum fg_run_status st = FG_RUN_BAD;
+	enum fg_run_status st = FG_RUN_BAD_ANSWER;
 
 	if (status == 404 && g_strcmp0(error, "not_loaded") == 0)
 		st = FG_RUN_NOT_LOADED;
@@ -97,7 +97,7 @@
 	case FG_HTTP_CANCELLED:
 		return FG_RUN_CANCELLED;
 	case FG_HTTP_TOO_LARGE:
-		return FG_RUN_BAD;
+		return FG_RUN_BAD_ANSWER;
 	default:
 		return FG_RUN_LOST;
 	}
@@ -121,7 +121,7 @@
 	};
 	struct fg_http_answer answer;
 
-	fg_http_do(&call, &answer);
+	fg_http_perform(&call, &answer);
 	g_free(answer.text);
 	g_free(body);
 }
@@ -135,10 +135,11 @@
 					 leaving);
 	if (run->req->unchecked && answer->status == 200)
 		return FG_RUN_DONE;
-	if (fg_answer_error(run->answer))
+	if (fg_answer_has_error(run->answer))
 		return FG_RUN_ERROR;
 	if (answer->error == FG_HTTP_OK)
-		return fg_answer_whole(run->answer) ? FG_RUN_DONE : FG_RUN_BAD;
+		return fg_answer_is_whole(run->answer) ? FG_RUN_DONE
+						       : FG_RUN_BAD_ANSWER;
 	return status_of_error(answer->error);
 }
 
@@ -161,14 +162,14 @@
 		.body = body,
 		.timeout_ms = req->timeout_ms,
 		.answer_max_bytes = ANSWER_MAX_BYTES,
-		.fresh = true,
+		.new_connection = true,
 		.on_data = on_engine_data,
 		.arg = &run,
 		.cancel = cancel,
 	};
 	struct fg_http_answer answer;
 
-	fg_http_do(&call, &answer);
+	fg_http_perform(&call, &answer);
 	out->status = judge_engine(&run, &answer, &out->leaving);
 	if (out->status == FG_RUN_DONE) {
 		out->text = g_strdup(fg_answer_text(run.answer));
@@ -176,7 +177,7 @@
 	}
 	if (out->status == FG_RUN_TIMEOUT || out->status == FG_RUN_CANCELLED)
 		cancel_run(ep, req->id);
-	out->pieces = run.pieces;
+	out->n_pieces = run.pieces;
 	free(body);
 	fg_answer_free(run.answer);
 	g_string_free(run.raw, TRUE);
@@ -213,19 +214,20 @@
 		.body = body,
 		.timeout_ms = req->timeout_ms,
 		.answer_max_bytes = ANSWER_MAX_BYTES,
-		.fresh = true,
+		.new_connection = true,
 		/* A filing that was sent is never given up early. */
 		.cancel = req->cls == FG_CLASS_FILING ? NULL : cancel,
 	};
 	struct fg_http_answer answer;
 
-	fg_http_do(&call, &answer);
+	fg_http_perform(&call, &answer);
 	if (answer.status != 0 && answer.status != 200) {
 		out->status = status_of_refusal(answer.status, answer.text,
 						&out->leaving);
 	} else if (answer.error == FG_HTTP_OK) {
 		out->text = plain_result(req, answer.text);
-		out->status = out->text != NULL ? FG_RUN_DONE : FG_RUN_BAD;
+		out->status =
+			out->text != NULL ? FG_RUN_DONE : FG_RUN_BAD_ANSWER;
 	} else {
 		out->status = status_of_error(answer.error);
 	}
@@ -244,7 +246,7 @@
 		run_engine(ep, req, on_text, arg, cancel, out);
 	else
 		run_plain(ep, req, cancel, out);
-	out->ran_none = provably_not_run(out->status);
+	out->not_run = provably_not_run(out->status);
 	out->service_ms = (uint32_t)(fg_clock_now() - begin);
 }
 
@@ -290,7 +292,7 @@
 		.addr = ep->addr,
 		.path = order_path(order->kind),
 		.timeout_ms = order->timeout_ms,
-		.fresh = true,
+		.new_connection = true,
 	};
 	struct fg_http_answer answer;
 	char *body;
@@ -303,7 +305,7 @@
 		json_object_set_new(o, "role", json_string("serve"));
 	body = json_dumps(o, JSON_COMPACT);
 	call.body = body;
-	fg_http_do(&call, &answer);
+	fg_http_perform(&call, &answer);
 	g_free(answer.text);
 	free(body);
 	json_decref(o);
@@ -355,7 +357,7 @@
 	json_t *root;
 
 	memset(out, 0, sizeof(*out));
-	fg_http_do(&call, &answer);
+	fg_http_perform(&call, &answer);
 	root = answer.error == FG_HTTP_OK && answer.status == 200
 		       ? json_loads(answer.text, 0, NULL)
 		       : NULL;
@@ -369,11 +371,11 @@
 	out->leaving = json_is_true(json_object_get(root, "leaving"));
 	parse_slots(root, out);
 	json_decref(root);
-	return out->batch > 0 ? FG_PF_OK : FG_PF_BAD;
+	return out->batch > 0 ? FG_PF_OK : FG_PF_BAD_ANSWER;
 }
 
 const struct fg_endpoint_ops fg_endpoint_http_ops = {
 	.run = http_run,
-	.order = http_order,
-	.state = http_state,
+	.send_order = http_order,
+	.read_state = http_state,
 };
--- a/lib/gateway/fg_gateway.c
+++ b/lib/gateway/fg_gateway.c
@@ -86,7 +86,7 @@
 double fg_gw_update_token_rate(struct fg_gateway *gw, fg_ms now,
 			       uint64_t adapter, uint32_t tokens)
 {
-	uint32_t instances = fg_peers_alive(gw->peers, now) + 1;
+	uint32_t instances = fg_peers_count_alive(gw->peers, now) + 1;
 
 	if (tokens > 0)
 		fg_heat_add(gw->popularity, now, popularity_key(adapter),
@@ -246,7 +246,7 @@
 	gw->claims_current = false;
 	fg_gw_relay_suspend(gw, now);
 	for (int i = 0; i < FG_FEED_COUNT; i++)
-		fg_channel_break(gw->feeds[i].channel);
+		fg_channel_abort(gw->feeds[i].channel);
 }
 
 static void on_tick(uv_timer_t *timer)
--- a/lib/gateway/fg_gw_answer.c
+++ b/lib/gateway/fg_gw_answer.c
@@ -41,11 +41,11 @@
 	g_string_append_printf(out, "HTTP/1.1 %u %s\r\n", head->status,
 			       http_status_str((enum http_status)head->status));
 	for (uint32_t i = 0; i < head->n_fields; i++) {
-		if (fg_h1_is_hop_field(head, i))
+		if (fg_h1_is_hop_by_hop(head, i))
 			continue;
-		g_string_append(out, fg_h1_name(head, i));
+		g_string_append(out, fg_h1_field_name(head, i));
 		g_string_append(out, ": ");
-		g_string_append(out, fg_h1_value(head, i));
+		g_string_append(out, fg_h1_field_value(head, i));
 		g_string_append(out, "\r\n");
 	}
 	if (c->close_after)
@@ -54,7 +54,7 @@
 
 static bool is_event_stream(const struct fg_h1_head *head)
 {
-	const char *type = fg_h1_get(head, "Content-Type");
+	const char *type = fg_h1_get_field(head, "Content-Type");
 
 	return type != NULL && strstr(type, "event-stream") != NULL;
 }
@@ -144,7 +144,7 @@
 	fg_events_consume(&r->events, len);
 	fg_link_write(c->link, out->str, out->len);
 	g_string_free(out, TRUE);
-	if (fg_link_pending(c->link) > PENDING_MAX_BYTES)
+	if (fg_link_pending_bytes(c->link) > PENDING_MAX_BYTES)
 		fg_link_pause(r->conn->link);
 }
 
--- a/lib/gateway/fg_gw_caller.c
+++ b/lib/gateway/fg_gw_caller.c
@@ -115,7 +115,7 @@
 {
 	static const char continue_head[] = "HTTP/1.1 100 Continue\r\n\r\n";
 	struct fg_caller *c = ctx;
-	const char *expect = fg_h1_get(head, "Expect");
+	const char *expect = fg_h1_get_field(head, "Expect");
 
 	if (expect != NULL && g_ascii_strcasecmp(expect, "100-continue") == 0)
 		fg_link_write(c->link, continue_head,
@@ -170,7 +170,7 @@
 {
 	size_t used;
 
-	if (!c->h1.begun) {
+	if (!c->h1.started) {
 		c->wait_since = fg_clock_now();
 		apply_limits(c);
 	} else if (c->body->len > 0) {
@@ -248,7 +248,7 @@
 		fg_caller_close(c, true);
 		return;
 	}
-	fg_h1_next(&c->h1);
+	fg_h1_reset(&c->h1);
 	g_byte_array_set_size(c->body, 0);
 	c->wait_since = fg_clock_now();
 	fg_link_resume(c->link);
@@ -296,14 +296,14 @@
 
 	if (c->req != NULL || c->h1.ended)
 		return;
-	if (c->h1.begun && l->head_timeout_ms > 0 &&
+	if (c->h1.started && l->head_timeout_ms > 0 &&
 	    waited_ms > (fg_ms)l->head_timeout_ms) {
 		c->malformed = true;
 		fg_log(FG_LOG_INFO, "caller", "request_timed_out", NULL);
 		fg_caller_answer(c, HTTP_STATUS_REQUEST_TIMEOUT, NULL, 0, NULL,
 				 "", 0);
 		fg_caller_close(c, true);
-	} else if (!c->h1.begun && l->idle_timeout_ms > 0 &&
+	} else if (!c->h1.started && l->idle_timeout_ms > 0 &&
 		   waited_ms > (fg_ms)l->idle_timeout_ms) {
 		fg_caller_close(c, true);
 	}
--- a/lib/gateway/fg_gw_hear.c
+++ b/lib/gateway/fg_gw_hear.c
@@ -50,16 +50,16 @@
 }
 
 static void apply_owned_engine(struct fg_gateway *gw, uint64_t sender,
-			       const fg_mesh_own *own, fg_ms now)
+			       const fg_mesh_engine *own, fg_ms now)
 {
 	struct fg_fleet_ep *ep = fg_fleet_find_hash(gw->fleet, own->ep);
-	struct fg_fleet_held held[FG_MESH_HELD_MAX];
+	struct fg_fleet_held held[FG_MESH_ADAPTERS_MAX];
 	uint32_t n = 0;
 
 	if (ep == NULL || fg_claims_owner(gw->claims, ep->facts.id) != sender)
 		return;
-	for (u_int i = 0; i < own->held.held_len; i++) {
-		const fg_mesh_held *h = &own->held.held_val[i];
+	for (u_int i = 0; i < own->adapters.adapters_len; i++) {
+		const fg_mesh_adapter *h = &own->adapters.adapters_val[i];
 		struct fg_ep_adapter *a;
 
 		if (h->ver != 0) {
@@ -135,18 +135,18 @@
 		return;
 	/* Only a newer heartbeat is forwarded: two instances that both read the
 	 * store would forward it to each other forever. */
-	if (!peer->near && gw->reader == 0 &&
+	if (!peer->same_region && gw->reader == 0 &&
 	    (int32_t)(packet->seq - peer->seq) > 0)
 		forward_heartbeat(gw, bytes->base, bytes->len);
-	fg_peers_heartbeat(gw->peers, now, packet->incarnation, packet->seq,
-			   hb);
+	fg_peers_on_heartbeat(gw->peers, now, packet->incarnation, packet->seq,
+			      hb);
 	fg_gw_relay_on_heartbeat(gw, peer, now);
 	if (hb->store.feeds[FG_FEED_CONFIG].newest >
 	    gw->feeds[FG_FEED_CONFIG].newest_version)
 		fg_sync_on_config_behind(gw, now);
-	for (u_int i = 0; i < hb->owns.owns_len; i++)
+	for (u_int i = 0; i < hb->engines.engines_len; i++)
 		apply_owned_engine(gw, packet->incarnation,
-				   &hb->owns.owns_val[i], now);
+				   &hb->engines.engines_val[i], now);
 	for (u_int i = 0; i < hb->crashes.crashes_len; i++)
 		fg_gw_mesh_apply_crash(gw, packet->incarnation,
 				       &hb->crashes.crashes_val[i], now);
@@ -172,7 +172,7 @@
 			rep->answer = FG_MESH_RESIDENT;
 			break;
 		case FG_SLOT_PENDING:
-			rep->answer = FG_MESH_COMING;
+			rep->answer = FG_MESH_LOADING;
 			break;
 		default:
 			rep->answer = FG_MESH_FULL;
@@ -197,7 +197,7 @@
 		a->version = MAX(a->version, 1);
 		a->resident_at = now;
 		fg_gwreq_on_resident(gw, ep);
-	} else if (rep->answer != FG_MESH_COMING) {
+	} else if (rep->answer != FG_MESH_LOADING) {
 		fg_gwreq_on_load_refused(gw, ep, rep->adapter);
 	}
 }
@@ -259,7 +259,7 @@
 	int rc;
 
 	gw->crashes = g_array_new(FALSE, FALSE, sizeof(struct fg_crash_notice));
-	if (!fg_link_parse(gw->conf->mesh, &at))
+	if (!fg_link_parse_address(gw->conf->mesh, &at))
 		return UV_EINVAL;
 	uv_udp_init(&gw->loop, &gw->mesh);
 	gw->mesh.data = gw;
--- a/lib/gateway/fg_gw_mesh.c
+++ b/lib/gateway/fg_gw_mesh.c
@@ -27,7 +27,7 @@
 	struct sockaddr_in to;
 	uv_buf_t out = uv_buf_init((char *)bytes, (unsigned int)len);
 
-	if (!fg_link_parse(address, &to))
+	if (!fg_link_parse_address(address, &to))
 		return;
 	/* A datagram that cannot be sent now is dropped. */
 	(void)uv_udp_try_send(&gw->mesh, &out, 1, (struct sockaddr *)&to);
@@ -54,8 +54,8 @@
 }
 
 struct heartbeat_lists {
-	fg_mesh_own owns[OWNED_MAX];
-	fg_mesh_held held[OWNED_MAX][HELD_MAX];
+	fg_mesh_engine owns[OWNED_MAX];
+	fg_mesh_adapter held[OWNED_MAX][HELD_MAX];
 	fg_mesh_crash crashes[CRASHES_MAX];
 };
 
@@ -70,8 +70,8 @@
 	return n;
 }
 
-static void fill_owned_engine(const struct fg_fleet_ep *ep, fg_mesh_own *own,
-			      fg_mesh_held *held)
+static void fill_owned_engine(const struct fg_fleet_ep *ep, fg_mesh_engine *own,
+			      fg_mesh_adapter *held)
 {
 	uint32_t n = 0;
 
@@ -89,8 +89,8 @@
 	own->spare_age_ms = ep->spare_age_ms;
 	own->queue = ep->queue;
 	own->fetch_wait_ms = ep->fetch_wait_ms;
-	own->held.held_len = n;
-	own->held.held_val = held;
+	own->adapters.adapters_len = n;
+	own->adapters.adapters_val = held;
 }
 
 /* Fills in up to OWNED_MAX engines ordered here, beginning at index *at of the
@@ -122,8 +122,9 @@
 	for (guint i = 0; i < peers->len; i++) {
 		const struct fg_mesh_peer *p = peers->pdata[i];
 
-		if (p->near == near &&
-		    (near || fg_peers_far_target(gw->peers, now, p)))
+		if (p->same_region == near &&
+		    (near ||
+		     fg_peers_is_cross_region_target(gw->peers, now, p)))
 			fg_gw_mesh_send(gw, p->row.mesh, packet);
 	}
 }
@@ -148,15 +149,15 @@
 	fg_gw_mesh_init_packet(gw, &packet, FG_MESH_HEARTBEAT);
 	hb->state = heartbeat_state(gw);
 	fg_gw_relay_fill_status(gw, fg_clock_now(), &hb->store);
-	hb->owns.owns_val = b.owns;
+	hb->engines.engines_val = b.owns;
 	hb->crashes.crashes_val = b.crashes;
 	hb->crashes.crashes_len = fill_crashes(gw, &b);
 	do {
 		packet.seq = ++gw->heartbeat_seq;
-		hb->owns.owns_len = fill_owned_engines(gw, &b, &at);
+		hb->engines.engines_len = fill_owned_engines(gw, &b, &at);
 		send_to_peers(gw, &packet, near);
 		hb->crashes.crashes_len = 0;
-	} while (hb->owns.owns_len == OWNED_MAX);
+	} while (hb->engines.engines_len == OWNED_MAX);
 }
 
 static void fill_use(fg_mesh_use *use, const struct fg_fleet_ep *ep,
--- a/lib/gateway/fg_gw_orders.c
+++ b/lib/gateway/fg_gw_orders.c
@@ -130,7 +130,7 @@
 {
 	struct fg_ep_local *local = ctx;
 	fg_ms now = fg_clock_now();
-	enum fg_order_result result = FG_ORDER_UNKNOWN;
+	enum fg_wire_order_result result = FG_WIRE_ORDER_UNKNOWN;
 	uint32_t took_ms;
 	uint32_t waiting;
 
@@ -138,14 +138,15 @@
 	(void)len;
 	if (status != 0)
 		result = local->gw->wire->order_result(status);
-	if (result != FG_ORDER_ACCEPTED && result != FG_ORDER_HOLDS)
+	if (result != FG_WIRE_ORDER_ACCEPTED &&
+	    result != FG_WIRE_ORDER_ALREADY_DONE)
 		log_order(local, "order_failed", status);
-	if (result == FG_ORDER_MISDIRECTED) {
+	if (result == FG_WIRE_ORDER_MISDIRECTED) {
 		local->ep->addr_taken = true;
 		fg_orders_release(local);
 		return;
 	}
-	if (result == FG_ORDER_FENCED) {
+	if (result == FG_WIRE_ORDER_FENCED) {
 		fg_claims_handle_fenced(local->gw->claims, now,
 					local->ep->facts.id);
 		fg_orders_release(local);
@@ -168,7 +169,7 @@
 {
 	struct fg_ep_local *local = ctx;
 	fg_ms now = fg_clock_now();
-	struct fg_report report;
+	struct fg_engine_report report;
 	GError *why = NULL;
 	bool ok = false;
 
@@ -223,7 +224,7 @@
 	struct fg_slots_step step;
 	uint32_t waiting;
 
-	if (local->slots == NULL || fg_channel_busy(local->channel) ||
+	if (local->slots == NULL || fg_channel_is_busy(local->channel) ||
 	    !local->gw->claims_current)
 		return;
 	step = fg_slots_next(
@@ -235,7 +236,7 @@
 		fg_gw_count_event(local->gw, "reports", NULL);
 		fg_channel_send(
 			local->channel,
-			local->gw->wire->report_ask(local->ep->facts.address,
+			local->gw->wire->report_get(local->ep->facts.address,
 						    local->ep->facts.id),
 			REPORT_TIMEOUT_MS, on_report, local);
 		break;
@@ -353,7 +354,7 @@
 	const struct fg_mesh_peer *peer = fg_peers_find(gw->peers, owner);
 
 	if (owner == gw->incarnation ||
-	    (peer != NULL && fg_peer_alive(peer, now)))
+	    (peer != NULL && fg_peer_is_alive(peer, now)))
 		ep->owner = owner;
 	else
 		ep->owner = 0;
--- a/lib/gateway/fg_gw_own.c
+++ b/lib/gateway/fg_gw_own.c
@@ -23,7 +23,7 @@
 }
 
 static void send_tx(struct fg_gateway *gw, const struct fg_tx_row *rows,
-		    uint32_t n, fg_channel_done done)
+		    uint32_t n, fg_channel_done_fn done)
 {
 	fg_gw_count_event(gw, "store_calls", NULL);
 	fg_channel_send(gw->tx_channel,
@@ -42,7 +42,7 @@
 	g_strlcpy(self.dc, gw->conf->dc, sizeof(self.dc));
 	g_strlcpy(self.mesh, gw->conf->mesh, sizeof(self.mesh));
 	g_strlcpy(self.front, gw->conf->front, sizeof(self.front));
-	value = fg_peer_row_write(&self);
+	value = fg_peer_row_format(&self);
 	row.key = key;
 	row.value = value;
 	send_tx(gw, &row, 1, on_own_row_written);
@@ -90,7 +90,7 @@
 	for (guint i = 0; i < peers->len && n < max; i++) {
 		const struct fg_mesh_peer *p = peers->pdata[i];
 
-		if (!fg_peer_alive(p, now) || p->state == FG_MESH_LEAVING)
+		if (!fg_peer_is_alive(p, now) || p->state == FG_MESH_LEAVING)
 			continue;
 		out[n++] = (struct fg_claim_candidate){
 			.incarnation = p->row.incarnation,
@@ -163,7 +163,7 @@
 	const struct fg_feed *own = &gw->feeds[FG_FEED_OWN];
 
 	fg_gw_relay_follow(gw, now);
-	if (fg_channel_busy(gw->tx_channel) || now < gw->next_tx_at)
+	if (fg_channel_is_busy(gw->tx_channel) || now < gw->next_tx_at)
 		return;
 	if (!gw->own_row_written) {
 		fg_sync_write_own_row(gw);
--- a/lib/gateway/fg_gw_pages.c
+++ b/lib/gateway/fg_gw_pages.c
@@ -37,7 +37,7 @@
 	for (guint i = 0; i < peers->len; i++) {
 		struct fg_mesh_peer *p = peers->pdata[i];
 
-		if (fg_peer_serves(p, now) &&
+		if (fg_peer_is_ready(p, now) &&
 		    (region == NULL || strcmp(region, p->row.region) == 0))
 			g_ptr_array_add(out, p->row.front);
 	}
@@ -125,7 +125,7 @@
 		g_string_append_printf(out,
 				       "peer %s region=%s alive=%d state=%d\n",
 				       p->row.name, p->row.region,
-				       fg_peer_alive(p, now), (int)p->state);
+				       fg_peer_is_alive(p, now), (int)p->state);
 	}
 }
 
--- a/lib/gateway/fg_gw_relay.c
+++ b/lib/gateway/fg_gw_relay.c
@@ -91,7 +91,7 @@
 
 static void fetch_rows(struct fg_feed *f)
 {
-	struct fg_http_call call;
+	struct fg_wire_request call;
 
 	call.head_and_body = g_strdup_printf(
 		"GET /rows/%d/%llu HTTP/1.1\r\nHost: %s\r\n\r\n", (int)f->id,
@@ -105,7 +105,8 @@
 {
 	const fg_mesh_feed *reader_feed = &peer->store.feeds[f->id];
 
-	if (fg_channel_busy(f->channel) || fg_channel_busy(f->reader_channel))
+	if (fg_channel_is_busy(f->channel) ||
+	    fg_channel_is_busy(f->reader_channel))
 		return;
 	if (reader_feed->newest > f->synced_version) {
 		fetch_rows(f);
@@ -129,9 +130,9 @@
 	const struct fg_mesh_peer *peer = NULL;
 
 	if (now >= gw->follow_after && are_full_reads_done(gw))
-		peer = fg_peers_reader(gw->peers, now,
-				       gw->conf->drain_ms * FRESH_PERCENT /
-					       100);
+		peer = fg_peers_find_reader(gw->peers, now,
+					    gw->conf->drain_ms * FRESH_PERCENT /
+						    100);
 	if (peer == NULL) {
 		read_from_store(gw);
 		return;
--- a/lib/gateway/fg_gw_rows.c
+++ b/lib/gateway/fg_gw_rows.c
@@ -163,8 +163,8 @@
 	if (row->removed || row->value == NULL)
 		fg_peers_remove(gw->peers,
 				row->key + strlen(FG_SYNC_KEY_INSTANCE));
-	else if (fg_peer_row_read(row->key + strlen(FG_SYNC_KEY_INSTANCE),
-				  row->value, &peer))
+	else if (fg_peer_row_parse(row->key + strlen(FG_SYNC_KEY_INSTANCE),
+				   row->value, &peer))
 		fg_peers_put(gw->peers, now, &peer);
 	else
 		log_refused_row("instance_row_refused", row, NULL);
--- a/lib/gateway/fg_gw_send.c
+++ b/lib/gateway/fg_gw_send.c
@@ -145,7 +145,7 @@
 	if (conn->skip_message)
 		return has_body;
 	conn->head_seen = true;
-	conn->unread_body = fg_link_pending(conn->link);
+	conn->unread_body = fg_link_pending_bytes(conn->link);
 	return fg_answer_head(r, head) && has_body;
 }
 
@@ -172,11 +172,11 @@
 {
 	fg_ms idle_ms = IDLE_DEFAULT_MS;
 
-	if (conn->reply.idle_s > 0)
-		idle_ms = (fg_ms)conn->reply.idle_s * FG_MS_PER_S -
+	if (conn->reply.idle_timeout_s > 0)
+		idle_ms = (fg_ms)conn->reply.idle_timeout_s * FG_MS_PER_S -
 			  IDLE_MARGIN_MS;
 	conn->idle_until = now + MIN(idle_ms, IDLE_MAX_MS);
-	fg_h1_next(&conn->h1);
+	fg_h1_reset(&conn->h1);
 	g_ptr_array_add(fg_ep_local_get(conn->gw, conn->ep)->idle, conn);
 }
 
@@ -185,12 +185,12 @@
 {
 	struct fg_gwreq *r = conn->req;
 	bool reusable = clean && conn->h1.head.keep_alive &&
-			fg_link_pending(conn->link) == 0 &&
+			fg_link_pending_bytes(conn->link) == 0 &&
 			conn->unread_body == 0;
 
 	if (conn->skip_message) {
 		conn->skip_message = false;
-		fg_h1_next(&conn->h1);
+		fg_h1_reset(&conn->h1);
 		return;
 	}
 	conn->req = NULL;
@@ -267,7 +267,7 @@
 	fg_ms now = fg_clock_now();
 	const GByteArray *body = r->caller->body;
 	GString *out = g_string_sized_new(1024 + body->len);
-	struct fg_send send = {
+	struct fg_send_params send = {
 		.endpoint_id = conn->ep->facts.id,
 		.deadline_ms = MAX(fg_gwreq_time_left_ms(r, now), 1),
 		.urgency =
--- a/lib/gateway/fg_gw_sync.c
+++ b/lib/gateway/fg_gw_sync.c
@@ -134,8 +134,8 @@
 	if (f->id != FG_FEED_REGISTRY &&
 	    gw->feeds[FG_FEED_REGISTRY].failures > 0)
 		return BACKOFF_OTHERS_MS;
-	return fg_peers_first_in_dc(gw->peers, now) ? BACKOFF_MAX_MS
-						    : BACKOFF_OTHERS_MS;
+	return fg_peers_is_first_in_dc(gw->peers, now) ? BACKOFF_MAX_MS
+						       : BACKOFF_OTHERS_MS;
 }
 
 static void handle_failure(struct fg_feed *f, unsigned int status, fg_ms now)
@@ -283,7 +283,7 @@
 	const struct fg_gateway *gw = f->gw;
 	uint32_t wait_ms = long_poll_ms(f);
 
-	if (fg_channel_busy(f->channel) ||
+	if (fg_channel_is_busy(f->channel) ||
 	    (f->reader_channel != NULL && !f->in_full_read &&
 	     !f->read_store_once))
 		return;
@@ -335,8 +335,8 @@
 		return;
 	fg_log(FG_LOG_WARN, "sync", "configuration_behind", NULL);
 	gw->config_behind_since = now;
-	if (fg_channel_busy(f->channel))
-		fg_channel_break(f->channel);
+	if (fg_channel_is_busy(f->channel))
+		fg_channel_abort(f->channel);
 	else
 		fg_sync_read_store(f);
 }
--- a/lib/gateway/fg_gwconf.c
+++ b/lib/gateway/fg_gwconf.c
@@ -118,7 +118,7 @@
 {
 	struct sockaddr_in addr;
 
-	if (text == NULL || !fg_link_parse(text, &addr))
+	if (text == NULL || !fg_link_parse_address(text, &addr))
 		add_error(errors, path, key, text, "IP:PORT");
 	return g_strdup(text);
 }
--- a/lib/grant/fg_grant.c
+++ b/lib/grant/fg_grant.c
@@ -122,7 +122,7 @@
 		return true;
 	if (s->pins > 0)
 		return false;
-	if (!fg_av_none(s->av) && is_granted(g, s->av))
+	if (!fg_av_is_none(s->av) && is_granted(g, s->av))
 		return false;
 	if (s->orphans_since != FG_MS_NEVER)
 		return false;
@@ -169,7 +169,7 @@
 
 		if (!can_evict(g, s))
 			continue;
-		if (!fg_av_none(prefer) && fg_av_equal(s->av, prefer))
+		if (!fg_av_is_none(prefer) && fg_av_equal(s->av, prefer))
 			return (int32_t)i;
 		value = score ? score(arg, s->av) : (double)s->last_use;
 		if (value < best_score) {
@@ -195,7 +195,7 @@
 	struct fg_slot *s;
 	int32_t i;
 
-	assert(!fg_av_none(av));
+	assert(!fg_av_is_none(av));
 	if (g->leaving || g->engine_leaving || g->fenced)
 		return FG_LOAD_START_LEAVING;
 	if (fg_grants_is_recovering(g, now))
--- a/lib/grant/fg_grant_recover.c
+++ b/lib/grant/fg_grant_recover.c
@@ -141,7 +141,7 @@
 		s->av = (fg_av){ 0, 0 };
 		s->victim = in->victim;
 		s->incoming = in->av;
-		s->expects_empty = fg_av_none(in->av);
+		s->expects_empty = fg_av_is_none(in->av);
 		s->since = now - 1;
 	}
 }
@@ -168,7 +168,7 @@
 {
 	struct fg_slot *s = &g->slot[slot];
 	enum fg_slot_state state =
-		fg_av_none(av) ? FG_SLOT_EMPTY : FG_SLOT_READY;
+		fg_av_is_none(av) ? FG_SLOT_EMPTY : FG_SLOT_READY;
 
 	if (s->state == state && fg_av_equal(s->av, av))
 		return;
@@ -192,8 +192,8 @@
 	if (asked_at >= s->taint_until)
 		return true;
 	if (s->expects_empty)
-		return fg_av_none(content);
-	return !fg_av_none(s->incoming) && fg_av_equal(content, s->incoming);
+		return fg_av_is_none(content);
+	return !fg_av_is_none(s->incoming) && fg_av_equal(content, s->incoming);
 }
 
 static void taint_while_loading(struct fg_grants *g, fg_ms now, int32_t slot,
--- a/lib/h1/fg_h1.c
+++ b/lib/h1/fg_h1.c
@@ -9,21 +9,21 @@
 	return head->text->str + head->target_at;
 }
 
-const char *fg_h1_name(const struct fg_h1_head *head, uint32_t i)
+const char *fg_h1_field_name(const struct fg_h1_head *head, uint32_t i)
 {
 	return head->text->str + head->name_at[i];
 }
 
-const char *fg_h1_value(const struct fg_h1_head *head, uint32_t i)
+const char *fg_h1_field_value(const struct fg_h1_head *head, uint32_t i)
 {
 	return head->text->str + head->value_at[i];
 }
 
-const char *fg_h1_get(const struct fg_h1_head *head, const char *name)
+const char *fg_h1_get_field(const struct fg_h1_head *head, const char *name)
 {
 	for (uint32_t i = 0; i < head->n_fields; i++) {
-		if (g_ascii_strcasecmp(fg_h1_name(head, i), name) == 0)
-			return fg_h1_value(head, i);
+		if (g_ascii_strcasecmp(fg_h1_field_name(head, i), name) == 0)
+			return fg_h1_field_value(head, i);
 	}
 	return NULL;
 }
@@ -58,18 +58,18 @@
 	return false;
 }
 
-bool fg_h1_is_hop_field(const struct fg_h1_head *head, uint32_t i)
+bool fg_h1_is_hop_by_hop(const struct fg_h1_head *head, uint32_t i)
 {
-	const char *name = fg_h1_name(head, i);
+	const char *name = fg_h1_field_name(head, i);
 
 	for (size_t k = 0; k < G_N_ELEMENTS(hop_fields); k++) {
 		if (g_ascii_strcasecmp(name, hop_fields[k]) == 0)
 			return true;
 	}
 	for (uint32_t k = 0; k < head->n_fields; k++) {
-		if (g_ascii_strcasecmp(fg_h1_name(head, k), "Connection") ==
-			    0 &&
-		    list_has(fg_h1_value(head, k), name))
+		if (g_ascii_strcasecmp(fg_h1_field_name(head, k),
+				       "Connection") == 0 &&
+		    list_has(fg_h1_field_value(head, k), name))
 			return true;
 	}
 	return false;
@@ -203,7 +203,7 @@
 	h->head_bytes = 0;
 	h->in_value = false;
 	h->ended = false;
-	h->begun = false;
+	h->started = false;
 	h->fault = FG_H1_OK;
 }
 
@@ -234,7 +234,7 @@
 
 	if (h->ended || h->fault != FG_H1_OK || len_bytes == 0)
 		return 0;
-	h->begun = true;
+	h->started = true;
 	used = http_parser_execute(&h->parser, &callbacks, data, len_bytes);
 	if (h->ended) {
 		h->ops->on_end(h->ctx);
@@ -252,7 +252,7 @@
 
 bool fg_h1_eof(struct fg_h1 *h)
 {
-	if (h->ended || h->fault != FG_H1_OK || !h->begun)
+	if (h->ended || h->fault != FG_H1_OK || !h->started)
 		return false;
 	http_parser_execute(&h->parser, &callbacks, NULL, 0);
 	if (!h->ended)
@@ -261,7 +261,7 @@
 	return true;
 }
 
-void fg_h1_next(struct fg_h1 *h)
+void fg_h1_reset(struct fg_h1 *h)
 {
 	http_parser_init(&h->parser, (enum http_parser_type)h->parser.type);
 	h->parser.data = h;
--- a/lib/h1/fg_h1.h
+++ b/lib/h1/fg_h1.h
@@ -4,7 +4,7 @@
  * One parser reads the messages of one connection, one after the other. It
  * keeps the head of the current message and hands its body on in pieces. After
  * a whole message it stops, so that bytes of the next one stay with the caller
- * until fg_h1_next().
+ * until fg_h1_reset().
  *
  * Heads are kept byte for byte: names in the case in which they arrived, in
  * their order, repeated fields as separate entries.
@@ -34,15 +34,15 @@
 };
 
 /* Value of the first field of that name in any case; NULL when absent. */
-const char *fg_h1_get(const struct fg_h1_head *head, const char *name);
+const char *fg_h1_get_field(const struct fg_h1_head *head, const char *name);
 
 const char *fg_h1_target(const struct fg_h1_head *head);
-const char *fg_h1_name(const struct fg_h1_head *head, uint32_t i);
-const char *fg_h1_value(const struct fg_h1_head *head, uint32_t i);
+const char *fg_h1_field_name(const struct fg_h1_head *head, uint32_t i);
+const char *fg_h1_field_value(const struct fg_h1_head *head, uint32_t i);
 
 /* True for fields that concern one connection alone and are not forwarded,
  * those that `Connection` of this head names included. */
-bool fg_h1_is_hop_field(const struct fg_h1_head *head, uint32_t i);
+bool fg_h1_is_hop_by_hop(const struct fg_h1_head *head, uint32_t i);
 
 enum fg_h1_fault {
 	FG_H1_OK = 0,
@@ -72,8 +72,8 @@
 	uint32_t head_bytes;
 	enum fg_h1_fault fault;
 	bool in_value;
-	bool ended; /* the message is whole; fg_h1_next() goes on */
-	bool begun; /* a byte of the current message was seen */
+	bool ended;   /* the message is whole; fg_h1_reset() goes on */
+	bool started; /* a byte of the current message was seen */
 };
 
 /* `requests` reads requests, otherwise answers. */
@@ -90,6 +90,6 @@
 bool fg_h1_eof(struct fg_h1 *h);
 
 /* Makes the parser ready for the next message of the connection. */
-void fg_h1_next(struct fg_h1 *h);
+void fg_h1_reset(struct fg_h1 *h);
 
 #endif
--- a/lib/http/fg_http.c
+++ b/lib/http/fg_http.c
@@ -106,7 +106,7 @@
 		curl_easy_setopt(h, CURLOPT_XFERINFOFUNCTION, on_progress);
 		curl_easy_setopt(h, CURLOPT_XFERINFODATA, t);
 	}
-	if (call->fresh) {
+	if (call->new_connection) {
 		curl_easy_setopt(h, CURLOPT_FRESH_CONNECT, 1L);
 		curl_easy_setopt(h, CURLOPT_FORBID_REUSE, 1L);
 	}
@@ -137,7 +137,8 @@
 	return FG_HTTP_LOST;
 }
 
-void fg_http_do(const struct fg_http_call *call, struct fg_http_answer *answer)
+void fg_http_perform(const struct fg_http_call *call,
+		     struct fg_http_answer *answer)
 {
 	struct transfer t = { .call = call };
 	CURL *h = thread_handle();
--- a/lib/http/fg_http.h
+++ b/lib/http/fg_http.h
@@ -28,7 +28,8 @@
 	const char *header; /* one extra "Name: value" line, or NULL */
 	uint32_t timeout_ms;
 	size_t answer_max_bytes; /* 0: 16 MiB */
-	bool fresh; /* own connection: libcurl then never sends twice */
+	bool new_connection; /* own connection: libcurl then never sends twice
+			      */
 	/* Takes the answer as it comes; false ends the call (LOST). NULL
 	 * collects it in fg_http_answer.text. */
 	bool (*on_data)(void *arg, const char *data, size_t len_bytes);
@@ -47,6 +48,7 @@
 void fg_http_init(void);
 
 /* Makes the call. The caller g_free()s answer->text. */
-void fg_http_do(const struct fg_http_call *call, struct fg_http_answer *answer);
+void fg_http_perform(const struct fg_http_call *call,
+		     struct fg_http_answer *answer);
 
 #endif
--- a/lib/ledger/fg_ledger_io.c
+++ b/lib/ledger/fg_ledger_io.c
@@ -52,7 +52,8 @@
 
 		assert(f->has_expected_version);
 		value = filing_encode_row(l, f);
-		fg_table_op_write(op, f->row_key, f->expected_version, value);
+		fg_table_op_add_write(op, f->row_key, f->expected_version,
+				      value);
 		g_free(value);
 	}
 	emit_batch(l, op, b);
@@ -160,7 +161,7 @@
 		l->down_until = 0;
 		return;
 	case FG_PF_LOST:
-	case FG_PF_BAD:
+	case FG_PF_BAD_ANSWER:
 		if (++l->consecutive_lost < CONSECUTIVE_LOST_DOWN)
 			return;
 		break;
--- a/lib/ledger/fg_ledger_sweep.c
+++ b/lib/ledger/fg_ledger_sweep.c
@@ -66,7 +66,8 @@
 		const struct fg_row *row = &res->rows[i];
 
 		if (row_timestamp(row) < cutoff)
-			fg_table_op_write(op, row->key, row->row_version, NULL);
+			fg_table_op_add_write(op, row->key, row->row_version,
+					      NULL);
 	}
 	return op;
 }
--- a/lib/link/fg_channel.c
+++ b/lib/link/fg_channel.c
@@ -13,9 +13,9 @@
 	struct fg_h1 h1;
 	GString *body;
 	uv_timer_t *timer;
-	fg_channel_done done; /* NULL: idle */
+	fg_channel_done_fn done; /* NULL: idle */
 	void *ctx;
-	struct fg_http_call call;
+	struct fg_wire_request call;
 	bool open;
 };
 
@@ -26,12 +26,12 @@
 	fg_link_close(c->link, false);
 	c->link = NULL;
 	c->open = false;
-	fg_h1_next(&c->h1);
+	fg_h1_reset(&c->h1);
 }
 
 static void finish(struct fg_channel *c, unsigned int status)
 {
-	fg_channel_done done = c->done;
+	fg_channel_done_fn done = c->done;
 
 	if (done == NULL)
 		return;
@@ -92,7 +92,7 @@
 	if (!reusable || !c->h1.head.keep_alive)
 		drop_link(c);
 	else
-		fg_h1_next(&c->h1);
+		fg_h1_reset(&c->h1);
 	finish(c, status);
 }
 
@@ -165,12 +165,12 @@
 	g_free(c);
 }
 
-void fg_channel_break(struct fg_channel *c)
+void fg_channel_abort(struct fg_channel *c)
 {
 	fail(c);
 }
 
-bool fg_channel_busy(const struct fg_channel *c)
+bool fg_channel_is_busy(const struct fg_channel *c)
 {
 	return c->done != NULL;
 }
@@ -181,8 +181,8 @@
 	uv_timer_start(c->timer, on_timeout, 0, 0);
 }
 
-void fg_channel_send(struct fg_channel *c, struct fg_http_call call,
-		     uint32_t timeout_ms, fg_channel_done done, void *ctx)
+void fg_channel_send(struct fg_channel *c, struct fg_wire_request call,
+		     uint32_t timeout_ms, fg_channel_done_fn done, void *ctx)
 {
 	g_assert(c->done == NULL);
 	c->done = done;
--- a/lib/link/fg_channel.h
+++ b/lib/link/fg_channel.h
@@ -16,8 +16,8 @@
 struct fg_channel;
 
 /* `body` is NUL-terminated behind len_bytes; NULL when status is 0. */
-typedef void (*fg_channel_done)(void *ctx, unsigned int status,
-				const char *body, size_t len_bytes);
+typedef void (*fg_channel_done_fn)(void *ctx, unsigned int status,
+				   const char *body, size_t len_bytes);
 
 /* `address` must stay valid. */
 struct fg_channel *fg_channel_new(uv_loop_t *loop, const char *address);
@@ -26,12 +26,12 @@
 void fg_channel_free(struct fg_channel *c);
 
 /* Ends a call in flight as if its connection had failed. */
-void fg_channel_break(struct fg_channel *c);
+void fg_channel_abort(struct fg_channel *c);
 
-bool fg_channel_busy(const struct fg_channel *c);
+bool fg_channel_is_busy(const struct fg_channel *c);
 
 /* Sends a call (its memory is taken over). The channel must be idle. */
-void fg_channel_send(struct fg_channel *c, struct fg_http_call call,
-		     uint32_t timeout_ms, fg_channel_done done, void *ctx);
+void fg_channel_send(struct fg_channel *c, struct fg_wire_request call,
+		     uint32_t timeout_ms, fg_channel_done_fn done, void *ctx);
 
 #endif
--- a/lib/link/fg_link.c
+++ b/lib/link/fg_link.c
@@ -40,7 +40,7 @@
 /* One buffer serves all links of the thread: libuv reads one at a time. */
 static char read_buffer[READ_BYTES];
 
-bool fg_link_parse(const char *address, struct sockaddr_in *out)
+bool fg_link_parse_address(const char *address, struct sockaddr_in *out)
 {
 	const char *colon = strrchr(address, ':');
 	char ip[INET_ADDRSTRLEN];
@@ -176,7 +176,7 @@
 	struct sockaddr_in to;
 	struct fg_link *l;
 
-	if (!fg_link_parse(address, &to))
+	if (!fg_link_parse_address(address, &to))
 		return NULL;
 	l = link_new(loop, ops, ctx);
 	l->connect.data = l;
@@ -256,7 +256,7 @@
 	}
 }
 
-size_t fg_link_pending(const struct fg_link *l)
+size_t fg_link_pending_bytes(const struct fg_link *l)
 {
 	return l->pending_bytes;
 }
@@ -319,7 +319,7 @@
 	struct sockaddr_in at;
 	int rc;
 
-	if (!fg_link_parse(address, &at))
+	if (!fg_link_parse_address(address, &at))
 		return UV_EINVAL;
 	uv_tcp_init(loop, listener);
 	rc = uv_tcp_bind(listener, (struct sockaddr *)&at, 0);
--- a/lib/link/fg_link.h
+++ b/lib/link/fg_link.h
@@ -2,9 +2,9 @@
  * fg_link - TCP connections of an event loop (libuv).
  *
  * A link is a connected or connecting stream. Writes are queued and never
- * block; fg_link_pending() tells how much the peer has not taken yet. Links
- * find dead peers by keep-alive probes and a limit on unacknowledged data, so
- * that a peer that falls silent ends the link in a few seconds.
+ * block; fg_link_pending_bytes() tells how much the peer has not taken yet.
+ * Links find dead peers by keep-alive probes and a limit on unacknowledged
+ * data, so that a peer that falls silent ends the link in a few seconds.
  *
  * All links of a process belong to one loop: they share a buffer for reading.
  * Callbacks run on the loop's thread. After fg_link_close() no callback comes;
@@ -49,7 +49,7 @@
 void fg_link_write(struct fg_link *l, const char *data, size_t len_bytes);
 
 /* Bytes queued and not yet taken by the kernel. */
-size_t fg_link_pending(const struct fg_link *l);
+size_t fg_link_pending_bytes(const struct fg_link *l);
 
 /* Stops and resumes reading. */
 void fg_link_pause(struct fg_link *l);
@@ -66,6 +66,6 @@
 		   uv_connection_cb on_connection);
 
 /* Splits "IP:PORT" of IPv4; false when malformed. */
-bool fg_link_parse(const char *address, struct sockaddr_in *out);
+bool fg_link_parse_address(const char *address, struct sockaddr_in *out);
 
 #endif
--- a/lib/member/fg_member_lease.c
+++ b/lib/member/fg_member_lease.c
@@ -60,7 +60,7 @@
 				    .info = m->conf.self };
 	char *value = fg_lease_row_encode(&row);
 
-	fg_table_op_write(op, m->lease_key, m->lease.version, value);
+	fg_table_op_add_write(op, m->lease_key, m->lease.version, value);
 	g_free(value);
 	m->lease.region_size_min = MIN(m->lease.region_size_min, region);
 	m->lease.region_size_max = MAX(m->lease.region_size_max, region);
@@ -73,7 +73,7 @@
 	struct fg_table_op *op = fg_member_new_op(m, FG_OP_TXN, NULL);
 	struct fg_pending_op pending = { .kind = FG_PENDING_RELEASE };
 
-	fg_table_op_write(op, m->lease_key, m->lease.version, NULL);
+	fg_table_op_add_write(op, m->lease_key, m->lease.version, NULL);
 	submit_lease_op(m, now, op, &pending);
 }
 
@@ -212,7 +212,7 @@
 				   res->n_rows > 0 ? &res->rows[0] : NULL);
 		break;
 	case FG_PF_LOST:
-	case FG_PF_BAD:
+	case FG_PF_BAD_ANSWER:
 		if (l->lost_write_sent_at == 0)
 			l->lost_write_sent_at = pending->sent_at;
 		l->must_read_back = true;
--- a/lib/member/fg_member_peers.c
+++ b/lib/member/fg_member_peers.c
@@ -257,7 +257,7 @@
 		g_strconcat(FG_MEMBER_KEY_PREFIX, e->view.info.name, NULL);
 
 	e->op_in_flight = true;
-	fg_table_op_write(op, key, e->row_version, NULL);
+	fg_table_op_add_write(op, key, e->row_version, NULL);
 	fg_member_submit(m, now, op, &pending);
 }
 
--- a/lib/member/fg_member_ping.c
+++ b/lib/member/fg_member_ping.c
@@ -29,9 +29,9 @@
 	p->revision = m->revision;
 	p->confirm_age_ms = m->confirm_age_ms + (uint32_t)MAX(since, 0);
 	p->platform_age_ms = age_ms(m->own_contact_at, now);
-	p->heard_age_ms = age_ms(m->peer_contact_at, now);
+	p->peer_platform_age_ms = age_ms(m->peer_contact_at, now);
 	p->stopping = m->leaving;
-	p->attests = fg_may_act(fg_member_base_standing(m, now));
+	p->may_act = fg_may_act(fg_member_base_standing(m, now));
 }
 
 static void send_msg(struct fg_member *m, uint64_t to, fg_msg *msg)
@@ -247,9 +247,10 @@
 	if (p->platform_age_ms != UINT32_MAX)
 		m->peer_contact_at =
 			MAX(m->peer_contact_at, at - (fg_ms)p->platform_age_ms);
-	if (p->heard_age_ms != UINT32_MAX)
+	if (p->peer_platform_age_ms != UINT32_MAX)
 		m->relayed_contact_at =
-			MAX(m->relayed_contact_at, at - (fg_ms)p->heard_age_ms);
+			MAX(m->relayed_contact_at,
+			    at - (fg_ms)p->peer_platform_age_ms);
 }
 
 static void record_peer_ping(struct fg_member *m, struct fg_peer_entry *e,
@@ -274,7 +275,7 @@
 		return;
 	record_contact(m, sent_at, p);
 	e->reached_at = MAX(e->reached_at, sent_at);
-	if (p->attests)
+	if (p->may_act)
 		e->acting_at = MAX(e->acting_at, sent_at);
 	e->unanswered_since = 0;
 	e->unanswered = 0;
--- a/lib/mesh/fg_mesh.x
+++ b/lib/mesh/fg_mesh.x
@@ -9,7 +9,7 @@
 const FG_MESH_FORMAT = 2;       /* first field of every packet */
 const FG_MESH_NAME_MAX = 95;
 const FG_MESH_LIST_MAX = 64;
-const FG_MESH_HELD_MAX = 32;
+const FG_MESH_ADAPTERS_MAX = 32;
 
 enum fg_mesh_state {
 	FG_MESH_STARTING = 0,   /* not yet ready for callers */
@@ -24,19 +24,19 @@
 	unsigned int pending_tokens;    /* to be read before a first token */
 };
 
-struct fg_mesh_held {
+struct fg_mesh_adapter {
 	unsigned hyper adapter;
 	unsigned hyper ver;     /* 0: on its way */
 };
 
-struct fg_mesh_own {            /* an engine that the sender orders */
+struct fg_mesh_engine {            /* an engine that the sender orders */
 	unsigned hyper ep;
 	unsigned int running;           /* from all instances */
 	unsigned int pending_tokens;
 	unsigned int spare_age_ms;
 	unsigned int queue;             /* adapters waiting for a slot */
 	unsigned int fetch_wait_ms;     /* of a load from the weight store */
-	fg_mesh_held held<FG_MESH_HELD_MAX>;
+	fg_mesh_adapter adapters<FG_MESH_ADAPTERS_MAX>;
 };
 
 struct fg_mesh_crash {          /* an endpoint died under a request */
@@ -62,7 +62,7 @@
 struct fg_mesh_heartbeat {
 	fg_mesh_state state;
 	fg_mesh_store store;
-	fg_mesh_own owns<FG_MESH_LIST_MAX>;
+	fg_mesh_engine engines<FG_MESH_LIST_MAX>;
 	fg_mesh_crash crashes<FG_MESH_LIST_MAX>;
 };
 
@@ -75,7 +75,7 @@
 
 enum fg_mesh_answer {
 	FG_MESH_NOT_OWNER = 0,
-	FG_MESH_COMING = 1,
+	FG_MESH_LOADING = 1,
 	FG_MESH_RESIDENT = 2,
 	FG_MESH_FULL = 3
 };
--- a/lib/mesh/fg_mesh_proto.h
+++ b/lib/mesh/fg_mesh_proto.h
@@ -17,7 +17,7 @@
 #define FG_MESH_FORMAT 2
 #define FG_MESH_NAME_MAX 95
 #define FG_MESH_LIST_MAX 64
-#define FG_MESH_HELD_MAX 32
+#define FG_MESH_ADAPTERS_MAX 32
 
 enum fg_mesh_state {
 	FG_MESH_STARTING = 0,
@@ -34,13 +34,13 @@
 };
 typedef struct fg_mesh_use fg_mesh_use;
 
-struct fg_mesh_held {
+struct fg_mesh_adapter {
 	u_quad_t adapter;
 	u_quad_t ver;
 };
-typedef struct fg_mesh_held fg_mesh_held;
+typedef struct fg_mesh_adapter fg_mesh_adapter;
 
-struct fg_mesh_own {
+struct fg_mesh_engine {
 	u_quad_t ep;
 	u_int running;
 	u_int pending_tokens;
@@ -48,11 +48,11 @@
 	u_int queue;
 	u_int fetch_wait_ms;
 	struct {
-		u_int held_len;
-		fg_mesh_held *held_val;
-	} held;
+		u_int adapters_len;
+		fg_mesh_adapter *adapters_val;
+	} adapters;
 };
-typedef struct fg_mesh_own fg_mesh_own;
+typedef struct fg_mesh_engine fg_mesh_engine;
 
 struct fg_mesh_crash {
 	u_quad_t fingerprint;
@@ -80,9 +80,9 @@
 	fg_mesh_state state;
 	fg_mesh_store store;
 	struct {
-		u_int owns_len;
-		fg_mesh_own *owns_val;
-	} owns;
+		u_int engines_len;
+		fg_mesh_engine *engines_val;
+	} engines;
 	struct {
 		u_int crashes_len;
 		fg_mesh_crash *crashes_val;
@@ -100,7 +100,7 @@
 
 enum fg_mesh_answer {
 	FG_MESH_NOT_OWNER = 0,
-	FG_MESH_COMING = 1,
+	FG_MESH_LOADING = 1,
 	FG_MESH_RESIDENT = 2,
 	FG_MESH_FULL = 3,
 };
@@ -194,8 +194,8 @@
 #if defined(__STDC__) || defined(__cplusplus)
 extern  bool_t xdr_fg_mesh_state (XDR *, fg_mesh_state*);
 extern  bool_t xdr_fg_mesh_use (XDR *, fg_mesh_use*);
-extern  bool_t xdr_fg_mesh_held (XDR *, fg_mesh_held*);
-extern  bool_t xdr_fg_mesh_own (XDR *, fg_mesh_own*);
+extern  bool_t xdr_fg_mesh_adapter (XDR *, fg_mesh_adapter*);
+extern  bool_t xdr_fg_mesh_engine (XDR *, fg_mesh_engine*);
 extern  bool_t xdr_fg_mesh_crash (XDR *, fg_mesh_crash*);
 extern  bool_t xdr_fg_mesh_feed (XDR *, fg_mesh_feed*);
 extern  bool_t xdr_fg_mesh_store (XDR *, fg_mesh_store*);
@@ -215,8 +215,8 @@
 #else /* K&R C */
 extern bool_t xdr_fg_mesh_state ();
 extern bool_t xdr_fg_mesh_use ();
-extern bool_t xdr_fg_mesh_held ();
-extern bool_t xdr_fg_mesh_own ();
+extern bool_t xdr_fg_mesh_adapter ();
+extern bool_t xdr_fg_mesh_engine ();
 extern bool_t xdr_fg_mesh_crash ();
 extern bool_t xdr_fg_mesh_feed ();
 extern bool_t xdr_fg_mesh_store ();
--- a/lib/mesh/fg_mesh_proto_xdr.c
+++ b/lib/mesh/fg_mesh_proto_xdr.c
@@ -32,7 +32,7 @@
 }
 
 bool_t
-xdr_fg_mesh_held (XDR *xdrs, fg_mesh_held *objp)
+xdr_fg_mesh_adapter (XDR *xdrs, fg_mesh_adapter *objp)
 {
 	register int32_t *buf;
 
@@ -44,7 +44,7 @@
 }
 
 bool_t
-xdr_fg_mesh_own (XDR *xdrs, fg_mesh_own *objp)
+xdr_fg_mesh_engine (XDR *xdrs, fg_mesh_engine *objp)
 {
 	register int32_t *buf;
 
@@ -72,8 +72,8 @@
 		IXDR_PUT_U_LONG(buf, objp->queue);
 		IXDR_PUT_U_LONG(buf, objp->fetch_wait_ms);
 		}
-		 if (!xdr_array (xdrs, (char **)&objp->held.held_val, (u_int *) &objp->held.held_len, FG_MESH_HELD_MAX,
-			sizeof (fg_mesh_held), (xdrproc_t) xdr_fg_mesh_held))
+		 if (!xdr_array (xdrs, (char **)&objp->adapters.adapters_val, (u_int *) &objp->adapters.adapters_len, FG_MESH_ADAPTERS_MAX,
+			sizeof (fg_mesh_adapter), (xdrproc_t) xdr_fg_mesh_adapter))
 			 return FALSE;
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
@@ -99,8 +99,8 @@
 		objp->queue = IXDR_GET_U_LONG(buf);
 		objp->fetch_wait_ms = IXDR_GET_U_LONG(buf);
 		}
-		 if (!xdr_array (xdrs, (char **)&objp->held.held_val, (u_int *) &objp->held.held_len, FG_MESH_HELD_MAX,
-			sizeof (fg_mesh_held), (xdrproc_t) xdr_fg_mesh_held))
+		 if (!xdr_array (xdrs, (char **)&objp->adapters.adapters_val, (u_int *) &objp->adapters.adapters_len, FG_MESH_ADAPTERS_MAX,
+			sizeof (fg_mesh_adapter), (xdrproc_t) xdr_fg_mesh_adapter))
 			 return FALSE;
 	 return TRUE;
 	}
@@ -117,8 +117,8 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->fetch_wait_ms))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->held.held_val, (u_int *) &objp->held.held_len, FG_MESH_HELD_MAX,
-		sizeof (fg_mesh_held), (xdrproc_t) xdr_fg_mesh_held))
+	 if (!xdr_array (xdrs, (char **)&objp->adapters.adapters_val, (u_int *) &objp->adapters.adapters_len, FG_MESH_ADAPTERS_MAX,
+		sizeof (fg_mesh_adapter), (xdrproc_t) xdr_fg_mesh_adapter))
 		 return FALSE;
 	return TRUE;
 }
@@ -174,8 +174,8 @@
 		 return FALSE;
 	 if (!xdr_fg_mesh_store (xdrs, &objp->store))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->owns.owns_val, (u_int *) &objp->owns.owns_len, FG_MESH_LIST_MAX,
-		sizeof (fg_mesh_own), (xdrproc_t) xdr_fg_mesh_own))
+	 if (!xdr_array (xdrs, (char **)&objp->engines.engines_val, (u_int *) &objp->engines.engines_len, FG_MESH_LIST_MAX,
+		sizeof (fg_mesh_engine), (xdrproc_t) xdr_fg_mesh_engine))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->crashes.crashes_val, (u_int *) &objp->crashes.crashes_len, FG_MESH_LIST_MAX,
 		sizeof (fg_mesh_crash), (xdrproc_t) xdr_fg_mesh_crash))
--- a/lib/mesh/fg_peers.c
+++ b/lib/mesh/fg_peers.c
@@ -29,15 +29,15 @@
 
 /* ---- Rows: "INCARNATION REGION DC MESH FRONT" ---- */
 
-char *fg_peer_row_write(const struct fg_peer_row *row)
+char *fg_peer_row_format(const struct fg_peer_row *row)
 {
 	return g_strdup_printf("%016" G_GINT64_MODIFIER "x %s %s %s %s",
 			       (guint64)row->incarnation, row->region, row->dc,
 			       row->mesh, row->front);
 }
 
-bool fg_peer_row_read(const char *name, const char *text,
-		      struct fg_peer_row *out)
+bool fg_peer_row_parse(const char *name, const char *text,
+		       struct fg_peer_row *out)
 {
 	g_auto(GStrv) words = g_strsplit(text, " ", -1);
 
@@ -66,7 +66,7 @@
 
 static void forget_incarnation(struct fg_mesh_peer *peer)
 {
-	peer->heard = 0;
+	peer->heartbeat_at = 0;
 	peer->seq = 0;
 	peer->state = FG_MESH_STARTING;
 	peer->store.reads = false;
@@ -86,10 +86,10 @@
 	}
 	if (peer->row.incarnation != row->incarnation) {
 		forget_incarnation(peer);
-		peer->since = now;
+		peer->row_seen_at = now;
 	}
 	peer->row = *row;
-	peer->near = strcmp(row->region, p->self.region) == 0;
+	peer->same_region = strcmp(row->region, p->self.region) == 0;
 }
 
 void fg_peers_remove(struct fg_peers *p, const char *name)
@@ -111,15 +111,15 @@
 	return NULL;
 }
 
-struct fg_mesh_peer *fg_peers_heartbeat(struct fg_peers *p, fg_ms now,
-					uint64_t incarnation, uint32_t seq,
-					const fg_mesh_heartbeat *hb)
+struct fg_mesh_peer *fg_peers_on_heartbeat(struct fg_peers *p, fg_ms now,
+					   uint64_t incarnation, uint32_t seq,
+					   const fg_mesh_heartbeat *hb)
 {
 	struct fg_mesh_peer *peer = fg_peers_find(p, incarnation);
 
 	if (peer == NULL)
 		return NULL;
-	peer->heard = now;
+	peer->heartbeat_at = now;
 	if ((int32_t)(seq - peer->seq) <= 0)
 		return peer; /* overtaken by a newer one */
 	peer->seq = seq;
@@ -134,12 +134,12 @@
 	return p->all;
 }
 
-bool fg_peer_alive(const struct fg_mesh_peer *peer, fg_ms now)
+bool fg_peer_is_alive(const struct fg_mesh_peer *peer, fg_ms now)
 {
-	fg_ms silent_ms =
-		peer->near ? FG_PEER_SILENT_MS : FG_PEER_SILENT_FAR_MS;
+	fg_ms silent_ms = peer->same_region ? FG_PEER_TIMEOUT_MS
+					    : FG_PEER_CROSS_REGION_TIMEOUT_MS;
 
-	return peer->heard != 0 && now - peer->heard < silent_ms;
+	return peer->heartbeat_at != 0 && now - peer->heartbeat_at < silent_ms;
 }
 
 static bool reads_freshly(const struct fg_mesh_peer *peer, fg_ms now,
@@ -147,12 +147,12 @@
 {
 	fg_ms since = now - peer->store_at;
 
-	return peer->store.reads && since < FG_PEER_READER_SILENT_MS &&
+	return peer->store.reads && since < FG_PEER_READER_TIMEOUT_MS &&
 	       (fg_ms)peer->store.age_ms + since <= (fg_ms)fresh_ms;
 }
 
-const struct fg_mesh_peer *fg_peers_reader(const struct fg_peers *p, fg_ms now,
-					   uint32_t fresh_ms)
+const struct fg_mesh_peer *fg_peers_find_reader(const struct fg_peers *p,
+						fg_ms now, uint32_t fresh_ms)
 {
 	const struct fg_mesh_peer *best = NULL;
 	uint64_t own = fg_hash_str(p->self.name);
@@ -160,7 +160,7 @@
 	for (guint i = 0; i < p->all->len; i++) {
 		const struct fg_mesh_peer *peer = p->all->pdata[i];
 
-		if (peer->hash >= own || !peer->near ||
+		if (peer->hash >= own || !peer->same_region ||
 		    strcmp(peer->row.dc, p->self.dc) != 0 ||
 		    !reads_freshly(peer, now, fresh_ms))
 			continue;
@@ -170,14 +170,14 @@
 	return best;
 }
 
-bool fg_peers_first_in_dc(const struct fg_peers *p, fg_ms now)
+bool fg_peers_is_first_in_dc(const struct fg_peers *p, fg_ms now)
 {
 	uint64_t own = fg_hash_str(p->self.name);
 
 	for (guint i = 0; i < p->all->len; i++) {
 		const struct fg_mesh_peer *peer = p->all->pdata[i];
 
-		if (peer->hash < own && fg_peer_alive(peer, now) &&
+		if (peer->hash < own && fg_peer_is_alive(peer, now) &&
 		    strcmp(peer->row.dc, p->self.dc) == 0)
 			return false;
 	}
@@ -186,11 +186,11 @@
 
 static bool passes_on(const struct fg_mesh_peer *peer, fg_ms now)
 {
-	return peer->store.reads && fg_peer_alive(peer, now);
+	return peer->store.reads && fg_peer_is_alive(peer, now);
 }
 
-bool fg_peers_far_target(const struct fg_peers *p, fg_ms now,
-			 const struct fg_mesh_peer *peer)
+bool fg_peers_is_cross_region_target(const struct fg_peers *p, fg_ms now,
+				     const struct fg_mesh_peer *peer)
 {
 	if (passes_on(peer, now))
 		return true;
@@ -204,16 +204,16 @@
 	return true;
 }
 
-bool fg_peer_serves(const struct fg_mesh_peer *peer, fg_ms now)
+bool fg_peer_is_ready(const struct fg_mesh_peer *peer, fg_ms now)
 {
-	return fg_peer_alive(peer, now) && peer->state == FG_MESH_READY;
+	return fg_peer_is_alive(peer, now) && peer->state == FG_MESH_READY;
 }
 
-uint32_t fg_peers_alive(const struct fg_peers *p, fg_ms now)
+uint32_t fg_peers_count_alive(const struct fg_peers *p, fg_ms now)
 {
 	uint32_t n = 0;
 
 	for (guint i = 0; i < p->all->len; i++)
-		n += fg_peer_alive(p->all->pdata[i], now) ? 1 : 0;
+		n += fg_peer_is_alive(p->all->pdata[i], now) ? 1 : 0;
 	return n;
 }
--- a/lib/node/fg_node_address.c
+++ b/lib/node/fg_node_address.c
@@ -54,7 +54,7 @@
 {
 	fg_av av = fg_config_find_version(list->n->config, adapter, NULL);
 
-	if (!fg_av_none(av))
+	if (!fg_av_is_none(av))
 		fg_dir_for_each_holder(list->n->dir, av, add_owner, list);
 }
 
--- a/lib/node/fg_node_result.c
+++ b/lib/node/fg_node_result.c
@@ -17,7 +17,7 @@
 	[FG_RUN_NOT_LOADED] = { FG_NOT_RUN, FG_R_OVERLOAD, false, true },
 	[FG_RUN_ERROR] = { FG_FAILED, FG_R_ENDPOINT_ERROR, false, false },
 	[FG_RUN_LOST] = { FG_UNKNOWN, FG_R_ENDPOINT_LOST, true, true },
-	[FG_RUN_BAD] = { FG_UNKNOWN, FG_R_BAD_ANSWER, false, true },
+	[FG_RUN_BAD_ANSWER] = { FG_UNKNOWN, FG_R_BAD_ANSWER, false, true },
 	[FG_RUN_TIMEOUT] = { FG_UNKNOWN, FG_R_PAST_DEADLINE, false, false },
 	[FG_RUN_CANCELLED] = { FG_UNKNOWN, FG_R_CANCELLED, false, false },
 };
@@ -41,12 +41,12 @@
 		      const struct fg_run_result *res, const struct verdict *v)
 {
 	uint32_t backoff_ms = 0;
-	bool ran = !res->ran_none;
+	bool ran = !res->not_run;
 
 	if (!v->may_retry || r->caller_gone)
 		return false;
 	/* Pieces of a stream are with the caller: attempts are not spliced. */
-	if (!n->conf.switches.blind_retry && r->stream && res->pieces > 0)
+	if (!n->conf.switches.blind_retry && r->stream && res->n_pieces > 0)
 		return false;
 	if (!n->conf.switches.blind_retry &&
 	    !fg_retry_take(n->retry, n->now, r->cls, r->attempts,
@@ -95,9 +95,9 @@
 	if (r == NULL || r->state != FG_REQ_RUNNING || r->attempts != attempt)
 		return;
 	note_endpoint(n, fg_ep_find(n, r->ep), res);
-	fg_suspect_end(n, r, v->crashed, res->ran_none);
+	fg_suspect_end(n, r, v->crashed, res->not_run);
 	fg_route_release(n, r, res->service_ms, v->outcome == FG_UNKNOWN);
-	if (!res->ran_none && !n->conf.switches.forget_runs)
+	if (!res->not_run && !n->conf.switches.forget_runs)
 		r->ran = true;
 	if (res->status == FG_RUN_DONE)
 		answer_done(n, r, res);
--- a/lib/owner/fg_owner.c
+++ b/lib/owner/fg_owner.c
@@ -111,7 +111,7 @@
 	if (k->state == FG_OWN_MINE && k->row_version != 0) {
 		fg_owner_format_row_key(key, name, sizeof(name));
 		op = fg_owner_new_op(o, FG_OP_TXN, NULL);
-		fg_table_op_write(op, name, k->row_version, NULL);
+		fg_table_op_add_write(op, name, k->row_version, NULL);
 		fg_owner_submit_op(o, now, op, &inflight);
 	}
 	g_hash_table_remove(o->keys, &key);
--- a/lib/owner/fg_owner_claim.c
+++ b/lib/owner/fg_owner_claim.c
@@ -196,7 +196,7 @@
 		o->pass_at = now;
 		break;
 	case FG_PF_LOST:
-	case FG_PF_BAD:
+	case FG_PF_BAD_ANSWER:
 		k->read_due = true;
 		o->work_due = true;
 		break;
--- a/lib/owner/fg_owner_table.c
+++ b/lib/owner/fg_owner_table.c
@@ -47,7 +47,7 @@
 		row.intents[i] = k->intents[i].intent;
 	fg_owner_format_row_key(k->key, name, sizeof(name));
 	value = fg_owner_row_encode(&row);
-	fg_table_op_write(op, name, k->row_version, value);
+	fg_table_op_add_write(op, name, k->row_version, value);
 	g_free(value);
 	inflight->keys[inflight->n++] = k->key;
 	k->op_in_flight = true;
--- a/lib/owner/fg_owner_write.c
+++ b/lib/owner/fg_owner_write.c
@@ -285,7 +285,7 @@
 		k->write_alone = inflight->n > 1;
 		break;
 	case FG_PF_LOST:
-	case FG_PF_BAD:
+	case FG_PF_BAD_ANSWER:
 		k->read_due = true;
 		break;
 	case FG_PF_ABSENT:
--- a/lib/peer/fg_msg.c
+++ b/lib/peer/fg_msg.c
@@ -72,7 +72,7 @@
 	[FG_MSG_OWNED] = "owned",
 };
 
-const char *fg_msg_name(fg_msg_type type)
+const char *fg_msg_type_name(fg_msg_type type)
 {
 	if ((size_t)type >= sizeof(names) / sizeof(names[0]) ||
 	    names[type] == NULL)
--- a/lib/peer/fg_msg.h
+++ b/lib/peer/fg_msg.h
@@ -25,7 +25,7 @@
 size_t fg_msg_wire_bytes(const fg_msg *m);
 
 /* Name such as "grant_req", for logs and counters; never NULL. */
-const char *fg_msg_name(fg_msg_type type);
+const char *fg_msg_type_name(fg_msg_type type);
 
 /* Copies an address list into a message list (malloc'ed). */
 void fg_msg_set_avs(fg_resident *r, const fg_av *av, size_t n);
@@ -35,7 +35,7 @@
 	return a.adapter == b.adapter && a.ver == b.ver;
 }
 
-static inline int fg_av_none(fg_av a)
+static inline int fg_av_is_none(fg_av a)
 {
 	return a.adapter == 0;
 }
--- a/lib/peer/fg_peer.c
+++ b/lib/peer/fg_peer.c
@@ -89,7 +89,7 @@
 }
 
 struct fg_peer *fg_peer_start(const struct fg_peer_conf *conf,
-			      fg_peer_receive receive, void *arg,
+			      fg_peer_receive_fn receive, void *arg,
 			      GError **error)
 {
 	struct fg_peer_addr addr;
@@ -129,7 +129,7 @@
 	peer_free(p);
 }
 
-void fg_peer_cut(struct fg_peer *p, uint64_t id, int cut)
+void fg_peer_set_cut(struct fg_peer *p, uint64_t id, int cut)
 {
 	pthread_mutex_lock(&p->lock);
 	if (cut)
@@ -139,7 +139,7 @@
 	pthread_mutex_unlock(&p->lock);
 }
 
-void fg_peer_counters(const struct fg_peer *p, struct fg_peer_counters *out)
+void fg_peer_get_counters(const struct fg_peer *p, struct fg_peer_counters *out)
 {
 	const struct fg_peer_counters *c = &p->counters;
 
--- a/lib/peer/fg_peer.h
+++ b/lib/peer/fg_peer.h
@@ -32,7 +32,7 @@
 /* Called for each message received, by the server or a sender thread. The
  * message is borrowed. It must not block, since it delays all that is received,
  * and must not stop the peer. */
-typedef void (*fg_peer_receive)(void *arg, uint64_t from, const fg_msg *msg);
+typedef void (*fg_peer_receive_fn)(void *arg, uint64_t from, const fg_msg *msg);
 
 struct fg_peer_conf {
 	const char *listen;  /* "127.0.0.1:7001" */
@@ -43,7 +43,7 @@
 
 /* Starts the server thread; NULL with error set when it cannot listen. */
 struct fg_peer *fg_peer_start(const struct fg_peer_conf *conf,
-			      fg_peer_receive receive, void *arg,
+			      fg_peer_receive_fn receive, void *arg,
 			      GError **error);
 
 /* Stops all threads and frees; messages in the queues are dropped. */
@@ -54,15 +54,16 @@
 		  const fg_msg *msg);
 
 /* Ends the sender of an instance that is gone. */
-void fg_peer_forget(struct fg_peer *p, uint64_t id);
+void fg_peer_remove(struct fg_peer *p, uint64_t id);
 
 /* Test and scenario hook: drops all traffic to and from an instance. */
-void fg_peer_cut(struct fg_peer *p, uint64_t id, int cut);
+void fg_peer_set_cut(struct fg_peer *p, uint64_t id, int cut);
 
 struct fg_peer_counters {
 	uint64_t sent_msgs, sent_bytes, received_msgs, received_bytes;
 	uint64_t dropped_msgs, exchanges, failed_exchanges;
 };
-void fg_peer_counters(const struct fg_peer *p, struct fg_peer_counters *out);
+void fg_peer_get_counters(const struct fg_peer *p,
+			  struct fg_peer_counters *out);
 
 #endif
--- a/lib/peer/fg_peer_client.c
+++ b/lib/peer/fg_peer_client.c
@@ -429,7 +429,7 @@
 		sender_free(s);
 }
 
-void fg_peer_forget(struct fg_peer *p, uint64_t id)
+void fg_peer_remove(struct fg_peer *p, uint64_t id)
 {
 	struct fg_sender *s;
 
--- a/lib/peer/fg_peer_internal.h
+++ b/lib/peer/fg_peer_internal.h
@@ -30,7 +30,7 @@
 	uint64_t self;
 	uint32_t timeout_ms;
 	uint32_t queue_max;
-	fg_peer_receive receive;
+	fg_peer_receive_fn receive;
 	void *arg;
 	struct fg_listener *listener;
 	struct fg_peer_counters counters; /* changed by ck_pr_add_64() */
--- a/lib/peer/fg_proto.h
+++ b/lib/peer/fg_proto.h
@@ -53,9 +53,9 @@
 	u_quad_t revision;
 	u_int confirm_age_ms;
 	u_int platform_age_ms;
-	u_int heard_age_ms;
+	u_int peer_platform_age_ms;
 	bool_t stopping;
-	bool_t attests;
+	bool_t may_act;
 };
 typedef struct fg_ping fg_ping;
 
--- a/lib/peer/fg_proto.x
+++ b/lib/peer/fg_proto.x
@@ -45,9 +45,9 @@
 	unsigned hyper revision;      /* configuration in force at the sender */
 	unsigned int confirm_age_ms;  /* since that revision was confirmed */
 	unsigned int platform_age_ms; /* since the sender reached the platform */
-	unsigned int heard_age_ms;    /* since another told the sender that it did */
+	unsigned int peer_platform_age_ms;    /* since another told the sender that it did */
 	bool stopping;                /* sender is draining */
-	bool attests;                 /* sender may act, pauses aside */
+	bool may_act;                 /* sender may act, pauses aside */
 };
 
 enum fg_grant_status {
--- a/lib/peer/fg_proto_xdr.c
+++ b/lib/peer/fg_proto_xdr.c
@@ -44,18 +44,18 @@
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->platform_age_ms))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->heard_age_ms))
+			 if (!xdr_u_int (xdrs, &objp->peer_platform_age_ms))
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->stopping))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->attests))
+			 if (!xdr_bool (xdrs, &objp->may_act))
 				 return FALSE;
 		} else {
 			IXDR_PUT_U_LONG(buf, objp->confirm_age_ms);
 			IXDR_PUT_U_LONG(buf, objp->platform_age_ms);
-			IXDR_PUT_U_LONG(buf, objp->heard_age_ms);
+			IXDR_PUT_U_LONG(buf, objp->peer_platform_age_ms);
 			IXDR_PUT_BOOL(buf, objp->stopping);
-			IXDR_PUT_BOOL(buf, objp->attests);
+			IXDR_PUT_BOOL(buf, objp->may_act);
 		}
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
@@ -69,18 +69,18 @@
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->platform_age_ms))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->heard_age_ms))
+			 if (!xdr_u_int (xdrs, &objp->peer_platform_age_ms))
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->stopping))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->attests))
+			 if (!xdr_bool (xdrs, &objp->may_act))
 				 return FALSE;
 		} else {
 			objp->confirm_age_ms = IXDR_GET_U_LONG(buf);
 			objp->platform_age_ms = IXDR_GET_U_LONG(buf);
-			objp->heard_age_ms = IXDR_GET_U_LONG(buf);
+			objp->peer_platform_age_ms = IXDR_GET_U_LONG(buf);
 			objp->stopping = IXDR_GET_BOOL(buf);
-			objp->attests = IXDR_GET_BOOL(buf);
+			objp->may_act = IXDR_GET_BOOL(buf);
 		}
 	 return TRUE;
 	}
@@ -93,11 +93,11 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->platform_age_ms))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->heard_age_ms))
+	 if (!xdr_u_int (xdrs, &objp->peer_platform_age_ms))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->stopping))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->attests))
+	 if (!xdr_bool (xdrs, &objp->may_act))
 		 return FALSE;
 	return TRUE;
 }
--- a/lib/place/fg_broker.c
+++ b/lib/place/fg_broker.c
@@ -229,7 +229,7 @@
 	struct fg_router_need old;
 	struct fg_demand *demand;
 
-	if (fg_av_none(need->av))
+	if (fg_av_is_none(need->av))
 		return;
 	if (need->waiting == 0 && fg_broker_find_demand(b, need->av) == NULL)
 		return;
@@ -342,7 +342,7 @@
 		if (l->ep != e->id || has_adapter(e, l->av))
 			continue;
 		/* A load with a resident victim reuses the victim's slot. */
-		if (fg_av_none(l->victim) || !has_adapter(e, l->victim))
+		if (fg_av_is_none(l->victim) || !has_adapter(e, l->victim))
 			used++;
 	}
 	return used < e->slots ? e->slots - used : 0;
@@ -455,7 +455,7 @@
 
 	b->stats.refused++;
 	b->load_tokens += 1;
-	if (!fg_av_none(l->victim))
+	if (!fg_av_is_none(l->victim))
 		protect_from_eviction(b, l->ep, l->victim,
 				      now + REFUSED_RETRY_MS);
 	if (demand != NULL)
--- a/lib/place/fg_broker_tick.c
+++ b/lib/place/fg_broker_tick.c
@@ -202,7 +202,7 @@
 	struct fg_demand demand = { .av = find_most_popular(b, now, e) };
 	fg_place place = { .av = demand.av };
 
-	if (fg_av_none(demand.av) ||
+	if (fg_av_is_none(demand.av) ||
 	    !b->policy->choose_endpoint(b, now, &demand, &place))
 		return false;
 	record_copy(b, now, fg_av_key(demand.av));
--- a/lib/platform/fg_platform.c
+++ b/lib/platform/fg_platform.c
@@ -16,8 +16,8 @@
 	return op;
 }
 
-void fg_table_op_write(struct fg_table_op *op, const char *key,
-		       uint64_t expect_version, const char *value)
+void fg_table_op_add_write(struct fg_table_op *op, const char *key,
+			   uint64_t expect_version, const char *value)
 {
 	struct fg_write *w;
 
@@ -49,8 +49,8 @@
 	return res;
 }
 
-void fg_table_result_row(struct fg_table_result *res, const char *key,
-			 uint64_t row_version, const char *value)
+void fg_table_result_add_row(struct fg_table_result *res, const char *key,
+			     uint64_t row_version, const char *value)
 {
 	struct fg_row *row;
 
--- a/lib/platform/fg_platform.h
+++ b/lib/platform/fg_platform.h
@@ -28,7 +28,7 @@
 	FG_PF_ABSENT = 2,   /* no such row or object */
 	FG_PF_LOST = 3,	    /* no answer: it may or may not have taken effect */
 	FG_PF_DOWN = 4,	    /* refused or unreachable: it had no effect */
-	FG_PF_BAD = 5,	    /* the platform answered something unreadable */
+	FG_PF_BAD_ANSWER = 5, /* the platform answered something unreadable */
 };
 
 /* A row. The value is a JSON text; row_version grows with every write. */
@@ -80,8 +80,8 @@
 				    const char *key);
 
 /* Appends a write; takes a copy of value (NULL deletes). */
-void fg_table_op_write(struct fg_table_op *op, const char *key,
-		       uint64_t expect_version, const char *value);
+void fg_table_op_add_write(struct fg_table_op *op, const char *key,
+			   uint64_t expect_version, const char *value);
 
 /* Frees the operation and all it owns; NULL is allowed. */
 void fg_table_op_free(struct fg_table_op *op);
@@ -91,8 +91,8 @@
 					    enum fg_pf_result result);
 
 /* Appends a row; takes a copy of value. */
-void fg_table_result_row(struct fg_table_result *res, const char *key,
-			 uint64_t row_version, const char *value);
+void fg_table_result_add_row(struct fg_table_result *res, const char *key,
+			     uint64_t row_version, const char *value);
 
 /* Frees the result and all it owns; NULL is allowed. */
 void fg_table_result_free(struct fg_table_result *res);
@@ -127,11 +127,11 @@
 struct fg_platform_ops {
 	/* Runs op; the caller frees the result with fg_table_result_free().
 	 * Never NULL. */
-	struct fg_table_result *(*table)(struct fg_platform *p,
-					 const struct fg_table_op *op);
+	struct fg_table_result *(*run_op)(struct fg_platform *p,
+					  const struct fg_table_op *op);
 	/* Reads the list; *out is a g_malloc'ed array of *n. */
-	enum fg_pf_result (*list)(struct fg_platform *p, struct fg_listed **out,
-				  size_t *n);
+	enum fg_pf_result (*read_list)(struct fg_platform *p,
+				       struct fg_listed **out, size_t *n);
 	/* Tells the platform that this instance is live or leaving. */
 	enum fg_pf_result (*announce)(struct fg_platform *p,
 				      const struct fg_listed *self);
--- a/lib/platform/fg_platform_http.c
+++ b/lib/platform/fg_platform_http.c
@@ -31,10 +31,10 @@
 		.timeout_ms = p->timeout_ms,
 		/* A write that libcurl repeated on a new connection would
 		 * hide that the first one took effect. */
-		.fresh = body != NULL,
+		.new_connection = body != NULL,
 	};
 
-	fg_http_do(&call, answer);
+	fg_http_perform(&call, answer);
 }
 
 /* Turns HTTP outcomes into the platform's own results. */
@@ -55,7 +55,7 @@
 	case 503:
 		return FG_PF_DOWN;
 	default:
-		return FG_PF_BAD;
+		return FG_PF_BAD_ANSWER;
 	}
 }
 
@@ -68,7 +68,7 @@
 
 	if (key == NULL || strlen(key) >= FG_ROW_KEY_MAX)
 		return false;
-	fg_table_result_row(res, key, (uint64_t)row_version, value);
+	fg_table_result_add_row(res, key, (uint64_t)row_version, value);
 	return true;
 }
 
@@ -85,7 +85,7 @@
 	if (res->result == FG_PF_OK) {
 		row = json_loads(answer.text, 0, NULL);
 		if (!add_row(res, row))
-			res->result = FG_PF_BAD;
+			res->result = FG_PF_BAD_ANSWER;
 		json_decref(row);
 	}
 	g_free(answer.text);
@@ -113,9 +113,9 @@
 		page = json_loads(answer.text, 0, NULL);
 		json_array_foreach(json_object_get(page, "rows"), i,
 				   row) if (!add_row(res, row)) res->result =
-			FG_PF_BAD;
+			FG_PF_BAD_ANSWER;
 		if (page == NULL)
-			res->result = FG_PF_BAD;
+			res->result = FG_PF_BAD_ANSWER;
 		more = json_is_true(json_object_get(page, "more"));
 	}
 	json_decref(page);
@@ -170,7 +170,7 @@
 	json_t *versions = json_object_get(root, "versions");
 
 	if (root == NULL) {
-		res->result = FG_PF_BAD;
+		res->result = FG_PF_BAD_ANSWER;
 	} else if (res->result == FG_PF_CONFLICT) {
 		add_row(res, json_object_get(root, "conflict"));
 	} else {
@@ -178,8 +178,8 @@
 			json_int_t v =
 				json_integer_value(json_array_get(versions, i));
 
-			fg_table_result_row(res, op->writes[i].key, (uint64_t)v,
-					    NULL);
+			fg_table_result_add_row(res, op->writes[i].key,
+						(uint64_t)v, NULL);
 		}
 	}
 	json_decref(root);
@@ -194,7 +194,7 @@
 	call_platform(p, "POST", "/table/txn", body, &answer);
 	res->result = to_result(&answer);
 	/* An unreadable answer to a write leaves its effect open. */
-	if (res->result == FG_PF_BAD)
+	if (res->result == FG_PF_BAD_ANSWER)
 		res->result = FG_PF_LOST;
 	if (res->result == FG_PF_OK || res->result == FG_PF_CONFLICT)
 		read_txn_answer(op, answer.text, res);
@@ -276,7 +276,7 @@
 		root = json_loads(answer.text, 0, NULL);
 		list = json_object_get(root, "instances");
 		if (!json_is_array(list))
-			result = FG_PF_BAD;
+			result = FG_PF_BAD_ANSWER;
 		*out = g_new0(struct fg_listed, json_array_size(list) + 1);
 		json_array_foreach(
 			list, i,
@@ -345,8 +345,8 @@
 }
 
 static const struct fg_platform_ops http_ops = {
-	.table = http_table,
-	.list = http_list,
+	.run_op = http_table,
+	.read_list = http_list,
 	.announce = http_announce,
 	.object_get = http_object_get,
 	.object_put = http_object_put,
--- a/lib/run/fg_metrics_text.c
+++ b/lib/run/fg_metrics_text.c
@@ -39,7 +39,7 @@
 {
 	struct fg_peer_counters c;
 
-	fg_peer_counters(run->peer, &c);
+	fg_peer_get_counters(run->peer, &c);
 	carry(run, "peer_sent_msgs", c.sent_msgs);
 	carry(run, "peer_sent_bytes", c.sent_bytes);
 	carry(run, "peer_received_msgs", c.received_msgs);
--- a/lib/run/fg_run_io.c
+++ b/lib/run/fg_run_io.c
@@ -47,7 +47,7 @@
 	struct fg_exchange *x = job->exchange;
 	bool stream = x != NULL && job->cmd.run.stream;
 	struct fg_run_result res = { .status = FG_RUN_NOT_SENT,
-				     .ran_none = true };
+				     .not_run = true };
 
 	if (still_in_time(job))
 		run->endpoints->run(&job->cmd.ep, &job->cmd.run,
@@ -116,7 +116,7 @@
 	/* The lease was checked when the order was issued; a process that
 	 * was paused since then may have lost it. */
 	if (fg_clock_now() - job->issued_at <= ORDER_FRESH_MS)
-		status = job->run->endpoints->order(&job->ep, &job->order);
+		status = job->run->endpoints->send_order(&job->ep, &job->order);
 	else
 		status = FG_ORDER_NOT_SENT;
 	fg_run_lock(job->run);
@@ -158,7 +158,8 @@
 	fg_ms asked_at = fg_clock_now();
 	enum fg_pf_result result;
 
-	result = job->run->endpoints->state(&job->ep, STATE_TIMEOUT_MS, st);
+	result =
+		job->run->endpoints->read_state(&job->ep, STATE_TIMEOUT_MS, st);
 	fg_run_lock(job->run);
 	fg_node_engine_state(job->run->node, fg_clock_now(), job->ep.id,
 			     asked_at, result == FG_PF_OK ? st : NULL);
@@ -188,7 +189,7 @@
 {
 	struct table_job *job = arg;
 	struct fg_platform *p = job->run->platform;
-	struct fg_table_result *res = p->ops->table(p, job->op);
+	struct fg_table_result *res = p->ops->run_op(p, job->op);
 
 	fg_run_lock(job->run);
 	fg_node_table_done(job->run->node, fg_clock_now(), res);
@@ -215,7 +216,7 @@
 	size_t n;
 	enum fg_pf_result result;
 
-	result = run->platform->ops->list(run->platform, &list, &n);
+	result = run->platform->ops->read_list(run->platform, &list, &n);
 	fg_run_lock(run);
 	fg_node_list_done(run->node, fg_clock_now(), result, list, n);
 	fg_run_unlock(run);
--- a/lib/run/fg_web_calls.c
+++ b/lib/run/fg_web_calls.c
@@ -275,7 +275,7 @@
 
 	*status = call->fault != NULL ? 400 : 200;
 	if (call->fault == NULL)
-		fg_peer_cut(call->run->peer, fg_hash_str(name), cut);
+		fg_peer_set_cut(call->run->peer, fg_hash_str(name), cut);
 	*text = g_strdup("{}");
 	return false;
 }
--- a/lib/slots/fg_slots.h
+++ b/lib/slots/fg_slots.h
@@ -116,11 +116,11 @@
 
 /* Passes in the result of the LOAD or UNLOAD in flight. */
 void fg_slots_handle_result(struct fg_slots *s, fg_ms now,
-			    enum fg_order_result result);
+			    enum fg_wire_order_result result);
 
 /* Passes in the answer to REPORT; NULL when there was none. */
 void fg_slots_handle_report(struct fg_slots *s, fg_ms now,
-			    const struct fg_report *report);
+			    const struct fg_engine_report *report);
 
 /* Writes the resident adapters whose version is the newest announced to `out`
  * (room for FG_SLOTS_MAX + 1), the base model first. Returns their number. */
--- a/lib/slots/fg_slots_result.c
+++ b/lib/slots/fg_slots_result.c
@@ -36,14 +36,14 @@
 
 static void handle_load_result(struct fg_slots *s, fg_ms now,
 			       struct fg_slot *slot,
-			       enum fg_order_result result)
+			       enum fg_wire_order_result result)
 {
-	if (result == FG_ORDER_ACCEPTED && slot->accepted) {
+	if (result == FG_WIRE_ORDER_ACCEPTED && slot->accepted) {
 		slot->check_at = now + (slot == &s->base ? BASE_CHECK_MS
 							 : FG_SLOTS_CHECK_MS);
 		return;
 	}
-	if (result == FG_ORDER_ACCEPTED) {
+	if (result == FG_WIRE_ORDER_ACCEPTED) {
 		slot->check_at = now + expected_load_ms(s, slot->key);
 		slot->phase = LOADING;
 		slot->accepted = true;
@@ -62,11 +62,11 @@
 
 static void handle_unload_result(struct fg_slots *s, fg_ms now,
 				 struct fg_slot *slot,
-				 enum fg_order_result result)
+				 enum fg_wire_order_result result)
 {
 	if (!slot->accepted)
 		s->sequence++;
-	if (result == FG_ORDER_ACCEPTED) {
+	if (result == FG_WIRE_ORDER_ACCEPTED) {
 		/* The engine unloads once the adapter's runs have ended. */
 		slot->accepted = true;
 		slot->check_at = now + UNLOAD_CHECK_MS;
@@ -76,7 +76,7 @@
 }
 
 void fg_slots_handle_result(struct fg_slots *s, fg_ms now,
-			    enum fg_order_result result)
+			    enum fg_wire_order_result result)
 {
 	struct fg_slot *slot = fg_slot_find(s, s->sent_key);
 	enum fg_slots_act sent = s->sent;
@@ -84,19 +84,20 @@
 	s->sent = FG_SLOTS_NOTHING;
 	if (slot == NULL || !s->synced)
 		return;
-	if (result == FG_ORDER_ACCEPTED || result == FG_ORDER_HOLDS) {
+	if (result == FG_WIRE_ORDER_ACCEPTED ||
+	    result == FG_WIRE_ORDER_ALREADY_DONE) {
 		if (sent == FG_SLOTS_LOAD)
 			handle_load_result(s, now, slot, result);
 		else
 			handle_unload_result(s, now, slot, result);
 		return;
 	}
-	if (result == FG_ORDER_CONFLICT) {
+	if (result == FG_WIRE_ORDER_CONFLICT) {
 		s->has_refused = true;
 		s->refused_sequence = s->sequence;
 	}
-	start_resync(s,
-		     result == FG_ORDER_REFUSED ? now + REFUSED_WAIT_MS : now);
+	start_resync(s, result == FG_WIRE_ORDER_REFUSED ? now + REFUSED_WAIT_MS
+							: now);
 }
 
 /* ---- Reports ---- */
@@ -149,7 +150,7 @@
 }
 
 void fg_slots_handle_report(struct fg_slots *s, fg_ms now,
-			    const struct fg_report *report)
+			    const struct fg_engine_report *report)
 {
 	struct fg_slot old[FG_SLOTS_MAX];
 	uint32_t n_old = s->n;
@@ -169,8 +170,8 @@
 	for (uint32_t i = 0; i < report->n_resident; i++)
 		set_reported_slot(s, now, &report->resident[i], RESIDENT, old,
 				  n_old);
-	for (uint32_t i = 0; i < report->n_coming; i++)
-		set_reported_slot(s, now, &report->coming[i], LOADING, old,
+	for (uint32_t i = 0; i < report->n_loading; i++)
+		set_reported_slot(s, now, &report->loading[i], LOADING, old,
 				  n_old);
 	s->sequence = report->sequence;
 	s->has_refused = false;
--- a/lib/wire/fg_wire.h
+++ b/lib/wire/fg_wire.h
@@ -35,17 +35,17 @@
 	char *model;	      /* NULL: not a model request */
 	char *adapter;	      /* of that model; NULL: the bare model */
 	uint32_t prompt_tokens;
-	uint32_t output_tokens; /* at most */
-	uint64_t
-		prompt_head; /* hash of the first shared prompt part; 0: none */
-	bool resumes;	     /* the caller goes on with a stream */
-	uint64_t resume_after; /* ... after the event of this id */
+	uint32_t output_tokens;	     /* at most */
+	uint64_t prompt_prefix_hash; /* hash of the first shared prompt part; 0:
+					none */
+	bool resumes;		     /* the caller goes on with a stream */
+	uint64_t resume_after;	     /* ... after the event of this id */
 };
 
 void fg_call_clear(struct fg_call *c);
 
 /* How a request is sent to an endpoint. */
-struct fg_send {
+struct fg_send_params {
 	const char *endpoint_id; /* no other endpoint may run it */
 	uint32_t deadline_ms;	 /* left for it; 0: not said */
 	uint32_t urgency;	 /* 0 first .. 9 last */
@@ -58,14 +58,15 @@
 
 /* What the head of an endpoint's answer says beside its status. */
 struct fg_wire_reply {
-	bool not_run;	      /* the endpoint never ran the request */
-	bool misdirected;     /* it has not the endpoint, model or version */
-	const char *endpoint; /* id of the endpoint; NULL: not said */
-	bool from_service;    /* an answer of the application itself */
-	bool encoded;	      /* a content coding that nobody asked for */
-	const char *id;	      /* of the request it answers; NULL: not said */
-	uint64_t version;     /* of the weights; 0: not said */
-	uint32_t idle_s; /* idle connections are kept so long; 0: not said */
+	bool not_run;		 /* the endpoint never ran the request */
+	bool misdirected;	 /* it has not the endpoint, model or version */
+	const char *endpoint;	 /* id of the endpoint; NULL: not said */
+	bool from_service;	 /* an answer of the application itself */
+	bool encoded;		 /* a content coding that nobody asked for */
+	const char *id;		 /* of the request it answers; NULL: not said */
+	uint64_t version;	 /* of the weights; 0: not said */
+	uint32_t idle_timeout_s; /* idle connections are kept so long; 0: not
+				    said */
 };
 
 /* ---- Rows of the platform's store ---- */
@@ -97,7 +98,7 @@
 };
 
 /* A call of this instance, ready for an HTTP connection. */
-struct fg_http_call {
+struct fg_wire_request {
 	char *head_and_body;
 	size_t len_bytes;
 };
@@ -115,25 +116,25 @@
 	uint64_t fence;
 };
 
-enum fg_order_result {
-	FG_ORDER_ACCEPTED = 1,	  /* is being carried out */
-	FG_ORDER_HOLDS = 2,	  /* holds already, or was done at once */
-	FG_ORDER_CONFLICT = 3,	  /* busy, or the sequence differs */
-	FG_ORDER_FENCED = 4,	  /* a higher fencing number was seen */
-	FG_ORDER_REFUSED = 5,	  /* no such order here */
-	FG_ORDER_MISDIRECTED = 6, /* another endpoint answers there */
-	FG_ORDER_UNKNOWN = 7,	  /* no answer: it may act now or later */
+enum fg_wire_order_result {
+	FG_WIRE_ORDER_ACCEPTED = 1,	/* is being carried out */
+	FG_WIRE_ORDER_ALREADY_DONE = 2, /* holds already, or was done at once */
+	FG_WIRE_ORDER_CONFLICT = 3,	/* busy, or the sequence differs */
+	FG_WIRE_ORDER_FENCED = 4,	/* a higher fencing number was seen */
+	FG_WIRE_ORDER_REFUSED = 5,	/* no such order here */
+	FG_WIRE_ORDER_MISDIRECTED = 6,	/* another endpoint answers there */
+	FG_WIRE_ORDER_UNKNOWN = 7,	/* no answer: it may act now or later */
 };
 
 /* An engine's report on itself; some hundred ms old. */
-struct fg_report {
+struct fg_engine_report {
 	uint64_t sequence; /* orders accepted since it started */
 	uint64_t born;
 	bool busy;
 	struct fg_ep_resident resident[FG_FLEET_RESIDENT_MAX];
 	uint32_t n_resident;
-	struct fg_ep_resident coming[FG_FLEET_RESIDENT_MAX];
-	uint32_t n_coming;
+	struct fg_ep_resident loading[FG_FLEET_RESIDENT_MAX];
+	uint32_t n_loading;
 	uint32_t running;
 	uint32_t waiting;
 };
@@ -161,7 +162,7 @@
 	/* Callers and endpoints. */
 	bool (*call_read)(const struct fg_h1_head *head, struct fg_call *out);
 	void (*call_write)(GString *out, const struct fg_h1_head *head,
-			   const struct fg_send *send);
+			   const struct fg_send_params *send);
 	void (*reply_read)(const struct fg_h1_head *head,
 			   struct fg_wire_reply *out);
 	/* Head fields of a refusal that the gateway itself gives. */
@@ -178,13 +179,13 @@
 	const char *table_registry;
 
 	/* The store. `host` goes into the head. */
-	struct fg_http_call (*rows_get)(const char *host, const char *table,
-					const char *from, uint32_t limit);
-	struct fg_http_call (*rows_feed)(const char *host, const char *table,
-					 uint64_t after, uint32_t wait_ms);
-	struct fg_http_call (*rows_tx)(const char *host,
-				       const struct fg_tx_row *rows,
-				       uint32_t n);
+	struct fg_wire_request (*rows_get)(const char *host, const char *table,
+					   const char *from, uint32_t limit);
+	struct fg_wire_request (*rows_feed)(const char *host, const char *table,
+					    uint64_t after, uint32_t wait_ms);
+	struct fg_wire_request (*rows_tx)(const char *host,
+					  const struct fg_tx_row *rows,
+					  uint32_t n);
 	bool (*rows_read)(const char *body, size_t len,
 			  struct fg_store_rows *out, GError **error);
 
@@ -199,13 +200,13 @@
 			   struct fg_ep_facts *out, GError **error);
 
 	/* Engines. */
-	struct fg_http_call (*order_write)(const char *host,
-					   const struct fg_wire_order *order);
-	enum fg_order_result (*order_result)(unsigned int status);
-	struct fg_http_call (*report_ask)(const char *host,
-					  const char *endpoint_id);
-	bool (*report_read)(const char *text, size_t len, struct fg_report *out,
-			    GError **error);
+	struct fg_wire_request (*order_write)(
+		const char *host, const struct fg_wire_order *order);
+	enum fg_wire_order_result (*order_result)(unsigned int status);
+	struct fg_wire_request (*report_get)(const char *host,
+					     const char *endpoint_id);
+	bool (*report_read)(const char *text, size_t len,
+			    struct fg_engine_report *out, GError **error);
 };
 
 #endif
--- a/tests/bench/bench_config.c
+++ b/tests/bench/bench_config.c
@@ -101,7 +101,7 @@
 			h->revision);
 
 		h->reads++;
-		fg_table_result_row(res, op->key, h->revision, head);
+		fg_table_result_add_row(res, op->key, h->revision, head);
 	}
 	fg_confsync_on_table(h->s, now, res, handle_act, h);
 	fg_table_result_free(res);
--- a/tests/bench/bench_ledger.c
+++ b/tests/bench/bench_ledger.c
@@ -78,8 +78,8 @@
 	}
 	res = fg_table_result_new(p->op->id, p->op->kind, FG_PF_OK);
 	for (size_t i = 0; i < p->op->n_writes; i++)
-		fg_table_result_row(res, p->op->writes[i].key, ++b->row_version,
-				    NULL);
+		fg_table_result_add_row(res, p->op->writes[i].key,
+					++b->row_version, NULL);
 	fg_ledger_handle_result(b->ledger, b->now, res, handle_act, b);
 	fg_table_result_free(res);
 	fg_table_op_free(p->op);
--- a/tests/bench/bench_slopes.c
+++ b/tests/bench/bench_slopes.c
@@ -219,7 +219,7 @@
 		[C_DECODE] = { .name = "decoding a batch", .unit = "us" },
 	};
 	g_autofree char *title =
-		g_strdup_printf("codec, messages %s", fg_msg_name(type));
+		g_strdup_printf("codec, messages %s", fg_msg_type_name(type));
 	double x[SIZES];
 
 	for (int i = 0; i < SIZES; i++) {
--- a/tests/bench/bench_stream.c
+++ b/tests/bench/bench_stream.c
@@ -235,7 +235,7 @@
 	if (!r->h1.ended)
 		return;
 	stats.streams_ended++;
-	fg_h1_next(&r->h1);
+	fg_h1_reset(&r->h1);
 	start_next_stream(r);
 }
 
--- a/tests/bench/place_engine.c
+++ b/tests/bench/place_engine.c
@@ -324,7 +324,7 @@
 	for (uint32_t i = 0; i < SLOTS; i++) {
 		st.slot[i].adapter[0] = '\0';
 		st.slot[i].running = 0;
-		if (fg_av_none(e->resident[i]))
+		if (fg_av_is_none(e->resident[i]))
 			continue;
 		snprintf(st.slot[i].adapter, FG_NAME_BYTES, "%u",
 			 e->resident[i].adapter);
--- a/tests/bench/slopes_broker.c
+++ b/tests/bench/slopes_broker.c
@@ -135,8 +135,8 @@
 		fg_table_result_new(op->id, op->kind, FG_PF_OK);
 
 	for (size_t i = 0; i < op->n_writes; i++)
-		fg_table_result_row(res, op->writes[i].key, ++f->row_version,
-				    NULL);
+		fg_table_result_add_row(res, op->writes[i].key,
+					++f->row_version, NULL);
 	fg_ledger_handle_result(f->l, now, res, on_ledger_act, f);
 	fg_table_result_free(res);
 	fg_table_op_free(op);
--- a/tests/bench/slopes_roles.c
+++ b/tests/bench/slopes_roles.c
@@ -217,7 +217,7 @@
 			calloc(n, sizeof(fg_heat_item));
 		m->body.fg_body_u.heat.items.items_len = n;
 	}
-	printf("  %-38s %10zu B, %u items\n", fg_msg_name(type),
+	printf("  %-38s %10zu B, %u items\n", fg_msg_type_name(type),
 	       fg_msg_wire_bytes(m), n);
 	fg_msg_free(m);
 }
--- a/tests/bench/slopes_world.c
+++ b/tests/bench/slopes_world.c
@@ -20,7 +20,7 @@
 static uint64_t add_row(struct fg_table_result *res, const char *key,
 			uint64_t version, const char *value)
 {
-	fg_table_result_row(res, key, version, value);
+	fg_table_result_add_row(res, key, version, value);
 	return strlen(key) + strlen(value) + ROW_JSON_BYTES;
 }
 
@@ -64,8 +64,8 @@
 	} else if (op->kind == FG_OP_TXN) {
 		w->table_writes++;
 		for (size_t i = 0; i < op->n_writes; i++)
-			fg_table_result_row(res, op->writes[i].key,
-					    ++w->version, NULL);
+			fg_table_result_add_row(res, op->writes[i].key,
+						++w->version, NULL);
 		if (g_str_has_prefix(op->writes[0].key, FG_MEMBER_KEY_PREFIX))
 			w->own_version = w->version;
 	} else if (op->kind == FG_OP_SCAN) {
@@ -101,7 +101,7 @@
 	pong->from = to;
 	pong->msg = msg;
 	msg->body.type = FG_MSG_PONG;
-	msg->body.fg_body_u.pong.attests = TRUE;
+	msg->body.fg_body_u.pong.may_act = TRUE;
 	ping->from = to;
 	ping->msg = fg_msg_new(FG_MSG_PING);
 	ping->msg->body.fg_body_u.ping = msg->body.fg_body_u.pong;
--- a/tests/fuzz/fuzz_h1.c
+++ b/tests/fuzz/fuzz_h1.c
@@ -22,7 +22,7 @@
 static bool on_head(void *ctx, const struct fg_h1_head *head)
 {
 	const struct parse_state *s = ctx;
-	struct fg_send send = { .has_body = true };
+	struct fg_send_params send = { .has_body = true };
 	struct fg_wire_reply reply;
 	struct fg_lookup lookup;
 	struct fg_call call;
@@ -79,7 +79,7 @@
 
 		offset += fg_h1_feed(&h, (const char *)data + offset, n);
 		if (h.ended)
-			fg_h1_next(&h);
+			fg_h1_reset(&h);
 	}
 	fg_h1_eof(&h);
 	fg_h1_clear(&h);
--- a/tests/fuzz/fuzz_ledger.c
+++ b/tests/fuzz/fuzz_ledger.c
@@ -90,7 +90,7 @@
 	uint8_t choice = take_byte(c);
 	struct fg_table_result *res = fg_table_result_new(
 		op->id, op->kind,
-		(enum fg_pf_result)(choice % (FG_PF_BAD + 1)));
+		(enum fg_pf_result)(choice % (FG_PF_BAD_ANSWER + 1)));
 
 	c->ops[i] = c->ops[--c->n_ops];
 	if (choice >= 64) {
@@ -98,7 +98,7 @@
 		const char *key =
 			op->n_writes > 0 ? op->writes[0].key : op->key;
 
-		fg_table_result_row(res, key, take_byte(c), value);
+		fg_table_result_add_row(res, key, take_byte(c), value);
 		g_free(value);
 	}
 	if (!fg_ledger_handle_result(l, c->now, res, handle_act, c))
--- a/tests/fuzz/fuzz_msg.c
+++ b/tests/fuzz/fuzz_msg.c
@@ -42,7 +42,7 @@
 
 		if (fg_msg_wire_bytes(copy) != fg_msg_wire_bytes(m))
 			abort();
-		if (strcmp(fg_msg_name(m->body.type), "invalid") == 0)
+		if (strcmp(fg_msg_type_name(m->body.type), "invalid") == 0)
 			abort();
 		fg_msg_free(copy);
 	}
--- a/tests/fuzz/fuzz_wire.c
+++ b/tests/fuzz/fuzz_wire.c
@@ -25,7 +25,7 @@
 	struct fg_announcement announcement;
 	struct fg_store_rows rows;
 	struct fg_ep_facts facts;
-	struct fg_report report;
+	struct fg_engine_report report;
 	struct fg_peer_row peer;
 	fg_mesh_packet packet;
 
@@ -52,7 +52,7 @@
 			fg_mesh_clear(&packet);
 		break;
 	default:
-		fg_peer_row_read("n", text, &peer);
+		fg_peer_row_parse("n", text, &peer);
 	}
 }
 
--- a/tests/unit/cluster_table.c
+++ b/tests/unit/cluster_table.c
@@ -45,16 +45,16 @@
 		    w->expect_version == current_version(c, w->key))
 			continue;
 		res->result = FG_PF_CONFLICT;
-		fg_table_result_row(res, w->key,
-				    row != NULL ? row->row_version : 0,
-				    row != NULL ? row->value : NULL);
+		fg_table_result_add_row(res, w->key,
+					row != NULL ? row->row_version : 0,
+					row != NULL ? row->value : NULL);
 		return;
 	}
 	for (size_t i = 0; i < op->n_writes; i++) {
 		apply_write(c, &op->writes[i]);
 		if (!c->no_versions)
-			fg_table_result_row(res, op->writes[i].key,
-					    c->row_version, NULL);
+			fg_table_result_add_row(res, op->writes[i].key,
+						c->row_version, NULL);
 	}
 	c->table_writes++;
 }
@@ -70,8 +70,8 @@
 	struct scan_ctx *s = data;
 
 	if (g_str_has_prefix(key, s->prefix))
-		fg_table_result_row(s->res, row->key, row->row_version,
-				    row->value);
+		fg_table_result_add_row(s->res, row->key, row->row_version,
+					row->value);
 	return FALSE;
 }
 
@@ -96,8 +96,8 @@
 	if (row == NULL)
 		res->result = FG_PF_ABSENT;
 	else
-		fg_table_result_row(res, row->key, row->row_version,
-				    row->value);
+		fg_table_result_add_row(res, row->key, row->row_version,
+					row->value);
 	return res;
 }
 
--- a/tests/unit/confsync_sim_table.c
+++ b/tests/unit/confsync_sim_table.c
@@ -51,7 +51,7 @@
 
 	m->reads++;
 	if (exists)
-		fg_table_result_row(res, op->key, row->version, row->value);
+		fg_table_result_add_row(res, op->key, row->version, row->value);
 	return res;
 }
 
@@ -70,7 +70,8 @@
 		const struct sim_row *row = value;
 
 		if (row->value != NULL && g_str_has_prefix(key, op->key))
-			fg_table_result_row(res, key, row->version, row->value);
+			fg_table_result_add_row(res, key, row->version,
+						row->value);
 	}
 	return res;
 }
--- a/tests/unit/fake_table.c
+++ b/tests/unit/fake_table.c
@@ -79,7 +79,7 @@
 
 static void append_row(struct fg_table_result *res, const struct fg_row *row)
 {
-	fg_table_result_row(res, row->key, row->row_version, row->value);
+	fg_table_result_add_row(res, row->key, row->row_version, row->value);
 }
 
 static void run_txn(struct fake_table *t, const struct fg_table_op *op,
@@ -93,7 +93,7 @@
 		if (find_row(t, w->key) != NULL)
 			append_row(res, find_row(t, w->key));
 		else
-			fg_table_result_row(res, w->key, 0, NULL);
+			fg_table_result_add_row(res, w->key, 0, NULL);
 		return;
 	}
 	for (size_t i = 0; i < op->n_writes; i++)
@@ -102,8 +102,8 @@
 		if (find_row(t, op->writes[i].key) != NULL)
 			append_row(res, find_row(t, op->writes[i].key));
 		else
-			fg_table_result_row(res, op->writes[i].key,
-					    t->last_version, NULL);
+			fg_table_result_add_row(res, op->writes[i].key,
+						t->last_version, NULL);
 }
 
 struct scan {
--- a/tests/unit/ledger_model.c
+++ b/tests/unit/ledger_model.c
@@ -102,7 +102,7 @@
 		if (has == w->expect_version)
 			continue;
 		res = fg_table_result_new(op->id, op->kind, FG_PF_CONFLICT);
-		fg_table_result_row(res, w->key, has, s->value);
+		fg_table_result_add_row(res, w->key, has, s->value);
 		return res;
 	}
 	res = fg_table_result_new(op->id, op->kind, FG_PF_OK);
@@ -114,7 +114,8 @@
 		g_free(s->value);
 		s->value = g_strdup(w->value);
 		if (m->faults.versions)
-			fg_table_result_row(res, w->key, s->row_version, NULL);
+			fg_table_result_add_row(res, w->key, s->row_version,
+						NULL);
 	}
 	return res;
 }
@@ -137,7 +138,8 @@
 				       : g_str_has_prefix(key, op->key);
 
 		if (matches && s->value != NULL)
-			fg_table_result_row(res, key, s->row_version, s->value);
+			fg_table_result_add_row(res, key, s->row_version,
+						s->value);
 	}
 	if (op->kind == FG_OP_GET && res->n_rows == 0)
 		res->result = FG_PF_ABSENT;
--- a/tests/unit/node_bed.c
+++ b/tests/unit/node_bed.c
@@ -263,8 +263,8 @@
 	g_assert_cmpuint(i, <, b->runs->len);
 	cmd = g_array_index(b->runs, struct fg_run_cmd, i);
 	g_array_remove_index(b->runs, i);
-	res.ran_none = status == FG_RUN_NOT_SENT || status == FG_RUN_REFUSED ||
-		       status == FG_RUN_NOT_LOADED;
+	res.not_run = status == FG_RUN_NOT_SENT || status == FG_RUN_REFUSED ||
+		      status == FG_RUN_NOT_LOADED;
 	if (status == FG_RUN_DONE)
 		res.text = cmd.run.adapter != NULL ? "text" : "{\"ok\":1}";
 	fg_node_run_done(b->node, b->now, cmd.req, cmd.attempt, &res);
--- a/tests/unit/test_broker_sim.c
+++ b/tests/unit/test_broker_sim.c
@@ -35,7 +35,7 @@
 		g_assert_false(fg_av_equal(s->pending[i].av, p->av));
 		/* Two loads in flight never replace the same victim. */
 		g_assert_false(s->pending[i].ep == p->ep &&
-			       !fg_av_none(p->victim) &&
+			       !fg_av_is_none(p->victim) &&
 			       fg_av_equal(s->pending[i].victim, p->victim));
 	}
 	s->pending[s->n++] = *p;
--- a/tests/unit/test_grant_sim.c
+++ b/tests/unit/test_grant_sim.c
@@ -110,7 +110,7 @@
 				      .fence = w->engine_fence };
 
 	for (int s = 0; s < SLOTS; s++)
-		if (!fg_av_none(w->content[s]))
+		if (!fg_av_is_none(w->content[s]))
 			snprintf(st.slot[s].adapter, FG_NAME_BYTES, "%u",
 				 w->content[s].adapter);
 	for (guint i = 0; i < w->jobs->len; i++)
--- a/tests/unit/test_ledger.c
+++ b/tests/unit/test_ledger.c
@@ -336,7 +336,7 @@
 	struct fg_lrow row = { .state = FG_LROW_DONE, .at = at };
 	char *value = fg_lrow_encode(&row);
 
-	fg_table_result_row(res, key, 3, value);
+	fg_table_result_add_row(res, key, 3, value);
 	g_free(value);
 }
 
@@ -357,7 +357,7 @@
 	add_row_at(res, "filing/1", year_ms - 7200001);
 	add_row_at(res, "filing/2", year_ms - 7199999);
 	add_row_at(res, "filing/3", year_ms);
-	fg_table_result_row(res, "filing/4", 3, "{\"format\":9}");
+	fg_table_result_add_row(res, "filing/4", 3, "{\"format\":9}");
 	fg_table_op_free(s.op);
 	g_assert_true(fg_ledger_handle_result(l, 20, res, capture_op, &s));
 	/* The clock is years ahead of the newest row. Only rows that are older
--- a/tests/unit/test_node.c
+++ b/tests/unit/test_node.c
@@ -225,7 +225,7 @@
 	struct bed *b = bed_new();
 	struct fg_run_result res = {
 		.status = FG_RUN_REFUSED,
-		.ran_none = true,
+		.not_run = true,
 		.leaving = true,
 	};
 	struct fg_run_cmd cmd;
@@ -399,7 +399,7 @@
 {
 	static const enum fg_run_status unseen[] = {
 		FG_RUN_LOST,
-		FG_RUN_BAD,
+		FG_RUN_BAD_ANSWER,
 		FG_RUN_TIMEOUT,
 		FG_RUN_CANCELLED,
 	};
--- a/tests/unit/test_peer.c
+++ b/tests/unit/test_peer.c
@@ -141,7 +141,7 @@
 	g_assert_cmpuint(b.last_from, ==, 1);
 	g_assert_false(a.out_of_order);
 	fg_peer_stop(pa);
-	fg_peer_counters(pb, &c);
+	fg_peer_get_counters(pb, &c);
 	g_assert_cmpuint(c.received_msgs, ==, 500);
 	g_assert_cmpuint(c.failed_exchanges, ==, 0);
 	fg_peer_stop(pb);
@@ -214,7 +214,7 @@
 		g_assert_cmpuint(inbox_count(&b), >, 0);
 		fg_peer_stop(pb);
 	}
-	fg_peer_counters(pa, &cnt);
+	fg_peer_get_counters(pa, &cnt);
 	g_assert_cmpuint(cnt.failed_exchanges, >, 0);
 	fg_peer_stop(pa);
 	fg_peer_stop(pc);
@@ -228,7 +228,7 @@
 
 	send_ping(pa, 2, 1);
 	g_assert_true(wait_count(&b, 1));
-	fg_peer_cut(pa, 2, 1);
+	fg_peer_set_cut(pa, 2, 1);
 	for (uint64_t i = 2; i < 10; i++) {
 		send_ping(pa, 2, i);
 		send_ping(pb, 1, i);
@@ -236,7 +236,7 @@
 	g_usleep(300000);
 	g_assert_cmpuint(inbox_count(&a), ==, 0);
 	g_assert_cmpuint(inbox_count(&b), ==, 1);
-	fg_peer_cut(pa, 2, 0);
+	fg_peer_set_cut(pa, 2, 0);
 	fg_ms until = fg_clock_now() + WAIT_MS;
 	for (uint64_t i = 10; inbox_count(&a) == 0 && fg_clock_now() < until;
 	     i++) {
@@ -341,9 +341,9 @@
 
 	for (uint64_t i = 1; i <= 5000; i++)
 		send_ping(pa, 7, i);
-	fg_peer_counters(pa, &c);
+	fg_peer_get_counters(pa, &c);
 	g_assert_cmpuint(c.dropped_msgs, >=, 5000 - 1024 - 2 * FG_BATCH_MAX);
-	fg_peer_forget(pa, 7);
+	fg_peer_remove(pa, 7);
 	fg_peer_stop(pa);
 }
 
--- a/tests/unit/test_relay.c
+++ b/tests/unit/test_relay.c
@@ -154,12 +154,13 @@
 
 	hb.store.reads = reads;
 	hb.store.age_ms = age_ms;
-	fg_peers_heartbeat(p, now, incarnation, ++seq, &hb);
+	fg_peers_on_heartbeat(p, now, incarnation, ++seq, &hb);
 }
 
 static uint64_t chosen_reader(struct fg_peers *p, fg_ms now)
 {
-	const struct fg_mesh_peer *peer = fg_peers_reader(p, now, FRESH_MS);
+	const struct fg_mesh_peer *peer =
+		fg_peers_find_reader(p, now, FRESH_MS);
 
 	return peer == NULL ? 0 : peer->row.incarnation;
 }
@@ -194,7 +195,7 @@
 	g_assert_cmpuint(chosen_reader(p, 1000), ==, 0);
 	send_heartbeat(p, 1000, 11, true, 100);
 	g_assert_cmpuint(chosen_reader(p, 1000), ==, 11);
-	g_assert_cmpuint(chosen_reader(p, 1000 + FG_PEER_READER_SILENT_MS), ==,
+	g_assert_cmpuint(chosen_reader(p, 1000 + FG_PEER_READER_TIMEOUT_MS), ==,
 			 0);
 	send_heartbeat(p, 2000, 11, true, FRESH_MS - 100);
 	g_assert_cmpuint(chosen_reader(p, 2050), ==, 11);
@@ -222,7 +223,7 @@
 			send_heartbeat(p, 1000, 100 + k, true, 0);
 		}
 		followed[i] = chosen_reader(p, 1000);
-		g_assert_true(fg_peers_first_in_dc(p, 1000) ==
+		g_assert_true(fg_peers_is_first_in_dc(p, 1000) ==
 			      (followed[i] == 0));
 		n_readers += followed[i] == 0 ? 1 : 0;
 		fg_peers_free(p);
@@ -246,19 +247,24 @@
 	add_peer(p, "w2", "d5", 52);
 	add_peer(p, "w3", "d5", 53);
 	for (guint i = 0; i < all->len; i++)
-		g_assert_true(fg_peers_far_target(p, 1000, all->pdata[i]));
+		g_assert_true(fg_peers_is_cross_region_target(p, 1000,
+							      all->pdata[i]));
 	send_heartbeat(p, 1000, 51, false, 0);
 	send_heartbeat(p, 1000, 52, true, 0);
 	send_heartbeat(p, 1000, 53, false, 0);
 	sent = 0;
 	for (guint i = 0; i < all->len; i++)
-		sent += fg_peers_far_target(p, 1100, all->pdata[i]) ? 1 : 0;
+		sent += fg_peers_is_cross_region_target(p, 1100, all->pdata[i])
+				? 1
+				: 0;
 	g_assert_cmpuint(sent, ==, 1);
-	g_assert_true(fg_peers_far_target(p, 1100, fg_peers_find(p, 52)));
+	g_assert_true(
+		fg_peers_is_cross_region_target(p, 1100, fg_peers_find(p, 52)));
 	/* The reader sends no more heartbeats. */
 	for (guint i = 0; i < all->len; i++)
-		g_assert_true(fg_peers_far_target(
-			p, 1000 + FG_PEER_SILENT_FAR_MS + 1, all->pdata[i]));
+		g_assert_true(fg_peers_is_cross_region_target(
+			p, 1000 + FG_PEER_CROSS_REGION_TIMEOUT_MS + 1,
+			all->pdata[i]));
 	fg_peers_free(p);
 }
 
--- a/tests/unit/test_slots.c
+++ b/tests/unit/test_slots.c
@@ -36,9 +36,10 @@
 	r->version = version;
 }
 
-static struct fg_report base_report(uint64_t sequence)
+static struct fg_engine_report base_report(uint64_t sequence)
 {
-	struct fg_report report = { .sequence = sequence, .n_resident = 1 };
+	struct fg_engine_report report = { .sequence = sequence,
+					   .n_resident = 1 };
 
 	set_resident(&report.resident[0], "", 1);
 	return report;
@@ -47,7 +48,7 @@
 static void sync_without_adapters(struct fg_slots *s, fg_ms now,
 				  uint64_t sequence)
 {
-	struct fg_report report = base_report(sequence);
+	struct fg_engine_report report = base_report(sequence);
 	struct fg_slots_step step = fg_slots_next(s, now, true);
 
 	g_assert_cmpint(step.act, ==, FG_SLOTS_REPORT);
@@ -71,13 +72,13 @@
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
 	g_assert_cmpstr(step.adapter, ==, "a1");
 	g_assert_cmpuint(step.expected_sequence, ==, 7);
-	fg_slots_handle_result(s, 1002, FG_ORDER_ACCEPTED);
+	fg_slots_handle_result(s, 1002, FG_WIRE_ORDER_ACCEPTED);
 	step = fg_slots_next(s, 1100, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_NOTHING);
 	g_assert_cmpint(step.wake_at, ==, 1252);
 	step = fg_slots_next(s, 1252, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
-	fg_slots_handle_result(s, 1253, FG_ORDER_HOLDS);
+	fg_slots_handle_result(s, 1253, FG_WIRE_ORDER_ALREADY_DONE);
 	g_assert_cmpint(fg_slots_state(s, key_of("a1")), ==, FG_SLOT_RESIDENT);
 	g_assert_cmpuint(fg_slots_take_fetched_ms(s), ==, 253);
 	g_assert_cmpuint(fg_slots_take_fetched_ms(s), ==, 0);
@@ -95,16 +96,16 @@
 	sync_without_adapters(s, 1000, 7);
 	fg_slots_request_load(s, 1000, MODEL, "a1", 0);
 	fg_slots_next(s, 1000, true);
-	fg_slots_handle_result(s, 1000, FG_ORDER_ACCEPTED);
+	fg_slots_handle_result(s, 1000, FG_WIRE_ORDER_ACCEPTED);
 	for (fg_ms now = 1250; now < 1500; now += 50) {
 		step = fg_slots_next(s, now, true);
 		g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
-		fg_slots_handle_result(s, now, FG_ORDER_ACCEPTED);
+		fg_slots_handle_result(s, now, FG_WIRE_ORDER_ACCEPTED);
 	}
 	fg_slots_request_load(s, 1500, MODEL, "a2", 0);
 	step = fg_slots_next(s, 1500, true);
 	if (strcmp(step.adapter, "a1") == 0) {
-		fg_slots_handle_result(s, 1500, FG_ORDER_HOLDS);
+		fg_slots_handle_result(s, 1500, FG_WIRE_ORDER_ALREADY_DONE);
 		step = fg_slots_next(s, 1500, true);
 	}
 	g_assert_cmpstr(step.adapter, ==, "a2");
@@ -118,14 +119,14 @@
 static void test_request_satisfied_by_report(void)
 {
 	struct fg_slots *s = slots_new();
-	struct fg_report report = base_report(9);
+	struct fg_engine_report report = base_report(9);
 	struct fg_slots_step step;
 
 	fg_slots_request_load(s, 1000, MODEL, "a1", 0);
 	step = fg_slots_next(s, 1000, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_REPORT);
-	set_resident(&report.coming[0], "a1", 1);
-	report.n_coming = 1;
+	set_resident(&report.loading[0], "a1", 1);
+	report.n_loading = 1;
 	fg_slots_handle_report(s, 1000, &report);
 	for (fg_ms now = 1001; now < 1030; now++) {
 		step = fg_slots_next(s, now, true);
@@ -139,7 +140,7 @@
 static void test_base_model_loads_first(void)
 {
 	struct fg_slots *s = slots_new();
-	struct fg_report report = { .sequence = 0 };
+	struct fg_engine_report report = { .sequence = 0 };
 	struct fg_slots_step step;
 
 	fg_slots_request_load(s, 1000, MODEL, "a1", 0);
@@ -149,12 +150,12 @@
 	step = fg_slots_next(s, 1000, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
 	g_assert_cmpstr(step.adapter, ==, "");
-	fg_slots_handle_result(s, 1000, FG_ORDER_ACCEPTED);
+	fg_slots_handle_result(s, 1000, FG_WIRE_ORDER_ACCEPTED);
 	step = fg_slots_next(s, 1001, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_NOTHING);
 	step = fg_slots_next(s, 4000, true);
 	g_assert_cmpstr(step.adapter, ==, "");
-	fg_slots_handle_result(s, 4000, FG_ORDER_HOLDS);
+	fg_slots_handle_result(s, 4000, FG_WIRE_ORDER_ALREADY_DONE);
 	fg_slots_request_load(s, 4000, MODEL, "a1", 0);
 	step = fg_slots_next(s, 4000, true);
 	g_assert_cmpstr(step.adapter, ==, "a1");
@@ -170,7 +171,7 @@
 		fg_slots_request_load(s, now + i, MODEL, names[i], 0);
 		g_assert_cmpint(fg_slots_next(s, now + i, true).act, ==,
 				FG_SLOTS_LOAD);
-		fg_slots_handle_result(s, now + i, FG_ORDER_HOLDS);
+		fg_slots_handle_result(s, now + i, FG_WIRE_ORDER_ALREADY_DONE);
 	}
 }
 
@@ -188,12 +189,12 @@
 	g_assert_cmpint(step.act, ==, FG_SLOTS_UNLOAD);
 	g_assert_cmpstr(step.adapter, ==, "a2");
 	/* No load starts while the unload waits for runs to end. */
-	fg_slots_handle_result(s, 5000, FG_ORDER_ACCEPTED);
+	fg_slots_handle_result(s, 5000, FG_WIRE_ORDER_ACCEPTED);
 	step = fg_slots_next(s, 5001, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_NOTHING);
 	step = fg_slots_next(s, 5100, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_UNLOAD);
-	fg_slots_handle_result(s, 5100, FG_ORDER_HOLDS);
+	fg_slots_handle_result(s, 5100, FG_WIRE_ORDER_ALREADY_DONE);
 	step = fg_slots_next(s, 5100, true);
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
 	g_assert_cmpstr(step.adapter, ==, "a4");
@@ -233,7 +234,7 @@
 	g_assert_cmpint(step.act, ==, FG_SLOTS_LOAD);
 	g_assert_cmpstr(step.adapter, ==, "a2");
 	g_assert_cmpuint(step.version, ==, 5);
-	fg_slots_handle_result(s, 1100, FG_ORDER_HOLDS);
+	fg_slots_handle_result(s, 1100, FG_WIRE_ORDER_ALREADY_DONE);
 	g_assert_cmpuint(fg_slots_list_resident(s, resident), ==, SLOTS + 1);
 	g_assert_cmpint(fg_slots_next(s, 1101, true).act, ==, FG_SLOTS_NOTHING);
 	fg_slots_free(s);
@@ -243,13 +244,13 @@
 static void test_outdated_report_is_ignored(void)
 {
 	struct fg_slots *s = slots_new();
-	struct fg_report report = base_report(0);
+	struct fg_engine_report report = base_report(0);
 	struct fg_slots_step step;
 
 	sync_without_adapters(s, 1000, 0);
 	fg_slots_request_load(s, 1000, MODEL, "a1", 0);
 	fg_slots_next(s, 1000, true);
-	fg_slots_handle_result(s, 1000, FG_ORDER_CONFLICT);
+	fg_slots_handle_result(s, 1000, FG_WIRE_ORDER_CONFLICT);
 	g_assert_cmpint(fg_slots_next(s, 1000, true).act, ==, FG_SLOTS_REPORT);
 	fg_slots_handle_report(s, 1001, &report);
 	step = fg_slots_next(s, 1002, true);
@@ -290,7 +291,7 @@
 	char resident[64][FG_FLEET_NAME_BYTES];
 	uint32_t n;
 	uint64_t sequence;
-	struct fg_report lagged_report;
+	struct fg_engine_report lagged_report;
 	struct {
 		bool load;
 		char adapter[FG_FLEET_NAME_BYTES];
@@ -309,15 +310,16 @@
 	return -1;
 }
 
-static enum fg_order_result engine_order(struct engine *e, bool load,
-					 const char *adapter, uint64_t expected)
+static enum fg_wire_order_result engine_order(struct engine *e, bool load,
+					      const char *adapter,
+					      uint64_t expected)
 {
 	int at = index_of(e, adapter);
 
 	if (load == (at >= 0))
-		return FG_ORDER_HOLDS;
+		return FG_WIRE_ORDER_ALREADY_DONE;
 	if (expected != e->sequence)
-		return FG_ORDER_CONFLICT;
+		return FG_WIRE_ORDER_CONFLICT;
 	e->sequence++;
 	if (load)
 		g_strlcpy(e->resident[e->n++], adapter, FG_FLEET_NAME_BYTES);
@@ -326,12 +328,12 @@
 			  FG_FLEET_NAME_BYTES);
 	/* An engine with more adapters than slots crashes. */
 	g_assert_cmpuint(e->n, <=, SLOTS);
-	return load ? FG_ORDER_ACCEPTED : FG_ORDER_HOLDS;
+	return load ? FG_WIRE_ORDER_ACCEPTED : FG_WIRE_ORDER_ALREADY_DONE;
 }
 
-static struct fg_report engine_report(const struct engine *e)
+static struct fg_engine_report engine_report(const struct engine *e)
 {
-	struct fg_report report = base_report(e->sequence);
+	struct fg_engine_report report = base_report(e->sequence);
 
 	for (uint32_t i = 0; i < e->n; i++)
 		set_resident(&report.resident[report.n_resident++],
@@ -356,7 +358,7 @@
 {
 	bool load = step->act == FG_SLOTS_LOAD;
 	char adapter[FG_FLEET_NAME_BYTES];
-	enum fg_order_result result;
+	enum fg_wire_order_result result;
 
 	g_strlcpy(adapter, step->adapter, sizeof(adapter));
 	switch (fg_rand_below(rand, 6)) {
@@ -370,11 +372,11 @@
 			g_strlcpy(e->delayed[e->n_delayed++].adapter, adapter,
 				  sizeof(e->delayed[0].adapter));
 		}
-		fg_slots_handle_result(s, now, FG_ORDER_UNKNOWN);
+		fg_slots_handle_result(s, now, FG_WIRE_ORDER_UNKNOWN);
 		break;
 	case 1: /* applied, answer lost */
 		engine_order(e, load, adapter, step->expected_sequence);
-		fg_slots_handle_result(s, now, FG_ORDER_UNKNOWN);
+		fg_slots_handle_result(s, now, FG_WIRE_ORDER_UNKNOWN);
 		break;
 	default:
 		result =
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -72,9 +72,9 @@
 		g_assert_cmpuint(fg_h1_feed(&h, text + i, 1), ==, 1);
 	g_assert_true(h.ended);
 	g_assert_cmpstr(s.body->str, ==, "abc");
-	g_assert_cmpstr(fg_h1_get(&h.head, "HOST"), ==, "h");
+	g_assert_cmpstr(fg_h1_get_field(&h.head, "HOST"), ==, "h");
 	g_assert_cmpuint(fg_h1_feed(&h, "G", 1), ==, 0);
-	fg_h1_next(&h);
+	fg_h1_reset(&h);
 	g_assert_cmpuint(fg_h1_feed(&h, text, sizeof(text) - 1), ==,
 			 sizeof(text) - 1 - strlen("GET /b"));
 	g_assert_cmpuint(s.ends, ==, 2);
@@ -152,10 +152,10 @@
 	init(&h, &s, true);
 	fg_h1_feed(&h, text, sizeof(text) - 1);
 	g_assert_true(h.ended);
-	g_assert_false(fg_h1_is_hop_field(&h.head, 0));
-	g_assert_true(fg_h1_is_hop_field(&h.head, 1));
-	g_assert_true(fg_h1_is_hop_field(&h.head, 2));
-	g_assert_false(fg_h1_is_hop_field(&h.head, 3));
+	g_assert_false(fg_h1_is_hop_by_hop(&h.head, 0));
+	g_assert_true(fg_h1_is_hop_by_hop(&h.head, 1));
+	g_assert_true(fg_h1_is_hop_by_hop(&h.head, 2));
+	g_assert_false(fg_h1_is_hop_by_hop(&h.head, 3));
 	done(&h, &s);
 }
 
@@ -171,12 +171,12 @@
 		"Pin-Ms: 4\r\nKv-Backup: y\r\nExpect-Instance: z\r\n"
 		"Request-Urgency: 0\r\nLast-Event-Id: 12\r\n"
 		"Content-Length: 0\r\n\r\n";
-	struct fg_send send = { .endpoint_id = "i-1",
-				.deadline_ms = 3900,
-				.urgency = 5,
-				.resumes = true,
-				.resume_after = 14,
-				.has_body = true };
+	struct fg_send_params send = { .endpoint_id = "i-1",
+				       .deadline_ms = 3900,
+				       .urgency = 5,
+				       .resumes = true,
+				       .resume_after = 14,
+				       .has_body = true };
 	struct fg_call call;
 	struct fg_h1 h;
 	struct seen s;
@@ -346,7 +346,7 @@
 				       .expected_sequence = 4,
 				       .holder = "n",
 				       .fence = 41 };
-	struct fg_http_call call = fgp_wire.order_write("h", &order);
+	struct fg_wire_request call = fgp_wire.order_write("h", &order);
 
 	/* An order for the model itself names no adapter. */
 	g_assert_null(strstr(call.head_and_body, "adapter"));
@@ -359,8 +359,8 @@
 	g_assert_nonnull(strstr(call.head_and_body, "\"adapter\":\"a1\""));
 	g_assert_nonnull(strstr(call.head_and_body, "\"version\":3"));
 	g_free(call.head_and_body);
-	g_assert_cmpint(fgp_wire.order_result(412), ==, FG_ORDER_FENCED);
-	g_assert_cmpint(fgp_wire.order_result(400), ==, FG_ORDER_REFUSED);
+	g_assert_cmpint(fgp_wire.order_result(412), ==, FG_WIRE_ORDER_FENCED);
+	g_assert_cmpint(fgp_wire.order_result(400), ==, FG_WIRE_ORDER_REFUSED);
 }
 
 static void test_report(void)
@@ -369,14 +369,14 @@
 		"{\"models\":[{\"name\":\"m\",\"version\":1,\"adapters\":["
 		"\"a1@1\"]}],\"busy\":true,\"sequence\":11,\"coming\":["
 		"\"m/a2@2\"],\"born\":5}";
-	struct fg_report report;
+	struct fg_engine_report report;
 	GError *why = NULL;
 
 	g_assert_true(fgp_wire.report_read(text, strlen(text), &report, &why));
 	g_assert_true(report.busy);
-	g_assert_cmpuint(report.n_coming, ==, 1);
-	g_assert_cmpstr(report.coming[0].adapter, ==, "a2");
-	g_assert_cmpuint(report.coming[0].version, ==, 2);
+	g_assert_cmpuint(report.n_loading, ==, 1);
+	g_assert_cmpstr(report.loading[0].adapter, ==, "a2");
+	g_assert_cmpuint(report.loading[0].version, ==, 2);
 	g_assert_false(fgp_wire.report_read("{}", 2, &report, &why));
 	g_clear_error(&why);
 }
@@ -457,30 +457,30 @@
 	g_strlcpy(self.region, "r", sizeof(self.region));
 	p = fg_peers_new(&self);
 	g_assert_true(
-		fg_peer_row_read("b", "0a r d 10.0.0.1:1 10.0.0.1:2", &row));
-	text = fg_peer_row_write(&row);
+		fg_peer_row_parse("b", "0a r d 10.0.0.1:1 10.0.0.1:2", &row));
+	text = fg_peer_row_format(&row);
 	g_assert_cmpstr(text, ==, "000000000000000a r d 10.0.0.1:1 10.0.0.1:2");
 	g_free(text);
-	g_assert_false(fg_peer_row_read("b", "0a r d", &row));
-	g_assert_true(fg_peer_row_read("b", "0a r d x y", &row));
+	g_assert_false(fg_peer_row_parse("b", "0a r d", &row));
+	g_assert_true(fg_peer_row_parse("b", "0a r d x y", &row));
 	fg_peers_put(p, 1000, &row);
 	/* A row alone does not make an instance serve. */
-	g_assert_false(fg_peer_serves(fg_peers_find(p, 10), 1000));
-	fg_peers_heartbeat(p, 1100, 10, 1, &hb);
-	g_assert_true(fg_peer_serves(fg_peers_find(p, 10), 1200));
-	g_assert_false(
-		fg_peer_serves(fg_peers_find(p, 10), 1100 + FG_PEER_SILENT_MS));
+	g_assert_false(fg_peer_is_ready(fg_peers_find(p, 10), 1000));
+	fg_peers_on_heartbeat(p, 1100, 10, 1, &hb);
+	g_assert_true(fg_peer_is_ready(fg_peers_find(p, 10), 1200));
+	g_assert_false(fg_peer_is_ready(fg_peers_find(p, 10),
+					1100 + FG_PEER_TIMEOUT_MS));
 	/* A heartbeat that was overtaken does not undo a newer one. */
 	hb.state = FG_MESH_LEAVING;
-	fg_peers_heartbeat(p, 1300, 10, 3, &hb);
+	fg_peers_on_heartbeat(p, 1300, 10, 3, &hb);
 	hb.state = FG_MESH_READY;
-	fg_peers_heartbeat(p, 1300, 10, 2, &hb);
-	g_assert_false(fg_peer_serves(fg_peers_find(p, 10), 1300));
+	fg_peers_on_heartbeat(p, 1300, 10, 2, &hb);
+	g_assert_false(fg_peer_is_ready(fg_peers_find(p, 10), 1300));
 	/* A new incarnation starts unheard. */
 	row.incarnation = 11;
 	fg_peers_put(p, 1400, &row);
 	g_assert_null(fg_peers_find(p, 10));
-	g_assert_false(fg_peer_alive(fg_peers_find(p, 11), 1400));
+	g_assert_false(fg_peer_is_alive(fg_peers_find(p, 11), 1400));
 	fg_peers_free(p);
 }
 
