--- a/lib/wire/fg_wire.h
+++ b/lib/wire/fg_wire.h
@@ -1,11 +1,15 @@
 /*
- * fg_wire - what the gateway needs of a platform's protocol, as a table of
- * functions, and the typed messages they read and write.
+ * fg_wire - interface to the wire formats of a platform.
  *
- * An adapter knows names, formats and calls; it decides nothing. Each message
- * is decoded once, here, into fields that say what they hold. Strings that a
- * decoder returns are g_malloc'ed and belong to the structure; each structure
- * has a clear function.
+ * struct fg_wire_ops is a table of functions that encode and decode the
+ * messages that the gateway exchanges with callers, endpoints, engines and the
+ * platform's store. An implementation holds the platform's names and formats,
+ * does no I/O, reads no clock and makes no decisions; platform/ has one.
+ *
+ * A function that returns false or NULL with `error` set has nothing in its
+ * output that the caller must free. Strings in a decoded structure are
+ * allocated and owned by the structure, which is released by its fg_*_clear()
+ * function; fields declared const char * are borrowed.
  */
 #ifndef FG_WIRE_H
 #define FG_WIRE_H
@@ -22,51 +26,51 @@
 GQuark fg_wire_error_quark(void);
 
 enum fg_wire_error {
-	FG_WIRE_ERR_SYNTAX, /* not the format that the message must have */
-	FG_WIRE_ERR_FIELD,  /* a field is missing or holds what it may not */
+	FG_WIRE_ERR_SYNTAX, /* the message is not in the required format */
+	FG_WIRE_ERR_FIELD,  /* a field is missing or has an invalid value */
 };
 
 /* ---- Requests of callers ---- */
 
+/* Fields of a caller's request that the gateway uses. */
 struct fg_call {
-	char *id;   /* of this attempt of the caller; NULL when absent */
+	char *id;   /* request id of this attempt of the caller, or NULL */
 	char *host; /* NULL when absent */
-	uint32_t deadline_ms; /* the caller waits this long; 0: not said */
-	char *model;	      /* NULL: not a model request */
-	char *adapter;	      /* of that model; NULL: the bare model */
+	uint32_t deadline_ms; /* time that the caller waits; 0: not stated */
+	char *model;	      /* NULL: the request is not for a model */
+	char *adapter;	      /* of the model; NULL: the base model */
 	uint32_t prompt_tokens;
-	uint32_t output_tokens;	     /* at most */
-	uint64_t prompt_prefix_hash; /* hash of the first shared prompt part; 0:
-					none */
-	bool resumes;		     /* the caller goes on with a stream */
-	uint64_t resume_after;	     /* ... after the event of this id */
+	uint32_t output_tokens;	     /* upper bound */
+	uint64_t prompt_prefix_hash; /* of the first shared part; 0: none */
+	bool resumes;		     /* the caller resumes a stream ... */
+	uint64_t resume_after;	     /* ... after the event with this id */
 };
 
+/* Frees the strings and zeroes the structure. */
 void fg_call_clear(struct fg_call *c);
 
-/* How a request is sent to an endpoint. */
+/* Parameters of a request that is forwarded to an endpoint. */
 struct fg_send_params {
-	const char *endpoint_id; /* no other endpoint may run it */
-	uint32_t deadline_ms;	 /* left for it; 0: not said */
-	uint32_t urgency;	 /* 0 first .. 9 last */
-	uint64_t version;	 /* the adapter must have it; 0: any */
+	const char *endpoint_id; /* any other endpoint refuses the request */
+	uint32_t deadline_ms;	 /* time left for the request; 0: not stated */
+	uint32_t urgency;	 /* 0 (first) to 9 (last) */
+	uint64_t version;	 /* required adapter version; 0: any */
 	bool resumes;
 	uint64_t resume_after;
 	uint64_t body_bytes;
-	bool has_body; /* a length is sent, also of 0 bytes */
+	bool has_body; /* announces body_bytes, also when it is 0 */
 };
 
-/* What the head of an endpoint's answer says beside its status. */
+/* Header fields of an endpoint's answer. Strings belong to the decoded head. */
 struct fg_wire_reply {
-	bool not_run;		 /* the endpoint never ran the request */
-	bool misdirected;	 /* it has not the endpoint, model or version */
-	const char *endpoint;	 /* id of the endpoint; NULL: not said */
-	bool from_service;	 /* an answer of the application itself */
-	bool encoded;		 /* a content coding that nobody asked for */
-	const char *id;		 /* of the request it answers; NULL: not said */
-	uint64_t version;	 /* of the weights; 0: not said */
-	uint32_t idle_timeout_s; /* idle connections are kept so long; 0: not
-				    said */
+	bool not_run;	      /* states that the request did not run */
+	bool misdirected;     /* wrong endpoint, or model or version absent */
+	const char *endpoint; /* id of the answering endpoint; NULL: absent */
+	bool from_service;    /* the application itself produced the answer */
+	bool encoded;	  /* has a content coding, which is never requested */
+	const char *id;	  /* of the answered request; NULL: absent */
+	uint64_t version; /* of the weights; 0: absent */
+	uint32_t idle_timeout_s; /* of an idle connection; 0: not stated */
 };
 
 /* ---- Rows of the platform's store ---- */
@@ -74,30 +78,35 @@
 struct fg_store_row {
 	char *table;
 	char *key;
-	char *value; /* NUL-terminated behind value_bytes; NULL when removed */
+	char *value; /* followed by a NUL byte; NULL when removed */
 	size_t value_bytes;
 	uint64_t version;
 	bool removed;
 };
 
 struct fg_store_rows {
-	GPtrArray *rows;  /* struct fg_store_row * */
+	GPtrArray *rows;  /* struct fg_store_row *, owned */
 	uint64_t version; /* newest version that the answer reflects */
-	bool more;	  /* further rows follow after the last key */
+	bool more;	  /* further rows follow the last key */
 };
 
+/* Frees a row; NULL is allowed. */
 void fg_store_row_free(gpointer row);
+
+/* Frees the rows and zeroes the structure. */
 void fg_store_rows_clear(struct fg_store_rows *rows);
 
+/* One row of a transaction. */
 struct fg_tx_row {
 	const char *table;
 	const char *key;
-	const char *value; /* NULL: remove the row */
-	bool conditional;  /* only if the row's version is `expected` */
-	uint64_t expected; /* 0: the row does not exist */
+	const char *value; /* text to write; NULL removes the row */
+	bool conditional;  /* the transaction requires version `expected` */
+	uint64_t expected; /* 0: the row must not exist */
 };
 
-/* A call of this instance, ready for an HTTP connection. */
+/* An encoded HTTP request of this instance. head_and_body is allocated; the
+ * caller frees it or passes it to fg_channel_send(). */
 struct fg_wire_request {
 	char *head_and_body;
 	size_t len_bytes;
@@ -106,105 +115,135 @@
 /* ---- Orders to engines ---- */
 
 struct fg_wire_order {
-	bool load; /* otherwise unload */
+	bool load; /* false: unload */
 	const char *endpoint_id;
 	const char *model;
-	const char *adapter; /* "": the model itself */
-	uint64_t version;    /* to load; 0: the newest */
-	uint64_t expected_sequence;
-	const char *holder;
+	const char *adapter;	    /* "": the base model */
+	uint64_t version;	    /* to load; 0: the newest */
+	uint64_t expected_sequence; /* orders accepted before this one */
+	const char *holder;	    /* name of the instance that sends it */
 	uint64_t fence;
 };
 
 enum fg_wire_order_result {
-	FG_WIRE_ORDER_ACCEPTED = 1,	/* is being carried out */
-	FG_WIRE_ORDER_ALREADY_DONE = 2, /* holds already, or was done at once */
+	FG_WIRE_ORDER_ACCEPTED = 1,	/* the engine is executing the order */
+	FG_WIRE_ORDER_ALREADY_DONE = 2, /* in effect before, or at once */
 	FG_WIRE_ORDER_CONFLICT = 3,	/* busy, or the sequence differs */
 	FG_WIRE_ORDER_FENCED = 4,	/* a higher fencing number was seen */
-	FG_WIRE_ORDER_REFUSED = 5,	/* no such order here */
-	FG_WIRE_ORDER_MISDIRECTED = 6,	/* another endpoint answers there */
-	FG_WIRE_ORDER_UNKNOWN = 7,	/* no answer: it may act now or later */
+	FG_WIRE_ORDER_REFUSED = 5,	/* the engine knows no such order */
+	FG_WIRE_ORDER_MISDIRECTED = 6,	/* another endpoint has the address */
+	FG_WIRE_ORDER_UNKNOWN = 7, /* no answer: may still take effect later */
 };
 
-/* An engine's report on itself; some hundred ms old. */
+/* An engine's report on its own state, a few hundred ms old. */
 struct fg_engine_report {
-	uint64_t sequence; /* orders accepted since it started */
-	uint64_t born;
-	bool busy;
+	uint64_t sequence; /* orders accepted since the engine started */
+	uint64_t born;	   /* start of the engine, as in its registry entry */
+	bool busy;	   /* an order is being executed */
 	struct fg_ep_resident resident[FG_FLEET_RESIDENT_MAX];
 	uint32_t n_resident;
 	struct fg_ep_resident loading[FG_FLEET_RESIDENT_MAX];
 	uint32_t n_loading;
-	uint32_t running;
-	uint32_t waiting;
+	uint32_t running; /* requests being run */
+	uint32_t waiting; /* requests queued in the engine */
 };
 
-/* ---- What operators announce ---- */
+/* ---- Announcements of operators ---- */
 
+/* An adapter version that operators have announced. */
 struct fg_announcement {
 	char *model;
-	char *adapter;
+	char *adapter; /* NULL: the base model */
 	uint64_t version;
 };
 
+/* Frees the strings and zeroes the structure. */
 void fg_announcement_clear(struct fg_announcement *a);
 
-/* A caller's question for an address. */
+/* An address lookup of a caller. */
 struct fg_lookup {
-	char *name; /* host; NULL when absent */
-	char *region;
-	char *dc;
+	char *name;   /* host; NULL when absent */
+	char *region; /* of the caller; NULL when absent */
+	char *dc;     /* of the caller; NULL when absent */
 };
 
+/* Frees the strings and zeroes the structure. */
 void fg_lookup_clear(struct fg_lookup *l);
 
 struct fg_wire_ops {
-	/* Callers and endpoints. */
+	/* ---- Callers and endpoints ---- */
+
+	/* Decodes a request head. Returns false when it names no host; `out`
+	 * must be cleared in both cases. */
 	bool (*call_read)(const struct fg_h1_head *head, struct fg_call *out);
+	/* Appends the head of the forwarded request, without hop-by-hop fields
+	 * and fields that only the system sets. */
 	void (*call_write)(GString *out, const struct fg_h1_head *head,
 			   const struct fg_send_params *send);
+	/* Decodes an answer's head, which must outlive `out`. */
 	void (*reply_read)(const struct fg_h1_head *head,
 			   struct fg_wire_reply *out);
-	/* Head fields of a refusal that the gateway itself gives. */
+	/* Appends the header fields of a refusal that the gateway itself sends.
+	 * request_id may be NULL. */
 	void (*refusal_write)(GString *out, const char *request_id);
 
-	/* Addresses and readiness. */
+	/* ---- Address lookups and readiness checks ---- */
+
+	/* True when the request is an address lookup, which is decoded into
+	 * `out`. */
 	bool (*is_lookup)(const struct fg_h1_head *head, struct fg_lookup *out);
+	/* Appends the answer to a lookup: n addresses, valid for ttl_s. */
 	void (*lookup_write)(GString *body, const char *const *addresses,
 			     uint32_t n, uint32_t ttl_s);
 	bool (*is_ready_check)(const struct fg_h1_head *head);
 
-	/* Names of the store's tables. */
+	/* ---- Names of the store's tables ---- */
+
 	const char *table_config; /* configuration and announcements */
 	const char *table_registry;
 
-	/* The store. `host` goes into the head. */
+	/* ---- The store; `host` is the value of the Host field ---- */
+
+	/* Encodes a read of at most `limit` rows from key `from`; NULL reads
+	 * from the first row. */
 	struct fg_wire_request (*rows_get)(const char *host, const char *table,
 					   const char *from, uint32_t limit);
+	/* Encodes a long poll for rows newer than version `after`, which the
+	 * store answers after wait_ms at the latest. */
 	struct fg_wire_request (*rows_feed)(const char *host, const char *table,
 					    uint64_t after, uint32_t wait_ms);
+	/* Encodes a transaction: all n rows are written, or none. */
 	struct fg_wire_request (*rows_tx)(const char *host,
 					  const struct fg_tx_row *rows,
 					  uint32_t n);
+	/* Decodes an answer of the store. Rows without a table or a key are
+	 * skipped. */
 	bool (*rows_read)(const char *body, size_t len,
 			  struct fg_store_rows *out, GError **error);
 
-	/* Rows of the tables. */
+	/* ---- Rows of the tables ---- */
+
 	bool (*is_config)(const char *key);
 	bool (*is_announcement)(const char *key);
+	/* Returns the routes of a configuration, or NULL with `error` set. The
+	 * caller unrefs the result. */
 	struct fg_routes *(*config_read)(const char *text, size_t len,
 					 GError **error);
 	bool (*announcement_read)(const char *text, size_t len,
 				  struct fg_announcement *out, GError **error);
+	/* Decodes the registry entry of an endpoint. `out` owns no memory. */
 	bool (*entry_read)(const char *key, const char *text, size_t len,
 			   struct fg_ep_facts *out, GError **error);
 
-	/* Engines. */
+	/* ---- Engines; `host` is the value of the Host field ---- */
+
 	struct fg_wire_request (*order_write)(
 		const char *host, const struct fg_wire_order *order);
+	/* Maps the HTTP status of the answer to an order. */
 	enum fg_wire_order_result (*order_result)(unsigned int status);
 	struct fg_wire_request (*report_get)(const char *host,
 					     const char *endpoint_id);
+	/* Decodes a report. `out` owns no memory. */
 	bool (*report_read)(const char *text, size_t len,
 			    struct fg_engine_report *out, GError **error);
 };
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -1,6 +1,7 @@
 /*
- * What arrives from outside: HTTP messages, events, rows, entries, packets and
- * settings, proper and not.
+ * Unit tests of the decoders of external input, with valid and invalid input:
+ * HTTP messages, event streams, store rows, registry entries, datagrams of
+ * other instances and the settings file.
  */
 #include <glib.h>
 #include <string.h>
@@ -15,7 +16,7 @@
 
 /* ---- HTTP messages ---- */
 
-struct seen {
+struct message_log {
 	GString *body;
 	uint32_t heads;
 	uint32_t ends;
@@ -23,7 +24,7 @@
 
 static bool on_head(void *ctx, const struct fg_h1_head *head)
 {
-	struct seen *s = ctx;
+	struct message_log *s = ctx;
 
 	(void)head;
 	s->heads++;
@@ -32,28 +33,28 @@
 
 static void on_body(void *ctx, const char *data, size_t len)
 {
-	struct seen *s = ctx;
+	struct message_log *s = ctx;
 
 	g_string_append_len(s->body, data, (gssize)len);
 }
 
 static void on_end(void *ctx)
 {
-	struct seen *s = ctx;
+	struct message_log *s = ctx;
 
 	s->ends++;
 }
 
-static const struct fg_h1_ops ops = { on_head, on_body, on_end };
+static const struct fg_h1_ops h1_ops = { on_head, on_body, on_end };
 
-static void init(struct fg_h1 *h, struct seen *s, bool requests)
+static void init_parser(struct fg_h1 *h, struct message_log *s, bool requests)
 {
 	memset(s, 0, sizeof(*s));
 	s->body = g_string_new(NULL);
-	fg_h1_init(h, requests, &ops, s, 1024, 1000);
+	fg_h1_init(h, requests, &h1_ops, s, 1024, 1000);
 }
 
-static void done(struct fg_h1 *h, struct seen *s)
+static void clear_parser(struct fg_h1 *h, struct message_log *s)
 {
 	fg_h1_clear(h);
 	g_string_free(s->body, TRUE);
@@ -64,10 +65,10 @@
 	static const char text[] = "POST /a HTTP/1.1\r\nHost: h\r\n"
 				   "Content-Length: 3\r\n\r\nabcGET /b";
 	struct fg_h1 h;
-	struct seen s;
+	struct message_log s;
 
-	init(&h, &s, true);
-	/* Byte by byte, as a slow caller sends. */
+	init_parser(&h, &s, true);
+	/* One byte at a time, as from a slow caller. */
 	for (size_t i = 0; i < sizeof(text) - 1 && !h.ended; i++)
 		g_assert_cmpuint(fg_h1_feed(&h, text + i, 1), ==, 1);
 	g_assert_true(h.ended);
@@ -78,19 +79,19 @@
 	g_assert_cmpuint(fg_h1_feed(&h, text, sizeof(text) - 1), ==,
 			 sizeof(text) - 1 - strlen("GET /b"));
 	g_assert_cmpuint(s.ends, ==, 2);
-	done(&h, &s);
+	clear_parser(&h, &s);
 }
 
 static void check_fault(const char *text, enum fg_h1_fault fault)
 {
 	struct fg_h1 h;
-	struct seen s;
+	struct message_log s;
 
-	init(&h, &s, true);
+	init_parser(&h, &s, true);
 	fg_h1_feed(&h, text, strlen(text));
 	g_assert_cmpint(h.fault, ==, fault);
 	g_assert_cmpuint(s.ends, ==, 0);
-	done(&h, &s);
+	clear_parser(&h, &s);
 }
 
 static void test_bad_requests(void)
@@ -123,45 +124,45 @@
 static void test_answer_without_length(void)
 {
 	static const char text[] = "HTTP/1.1 200 OK\r\n\r\nall of it";
-	static const char cut[] =
+	static const char truncated[] =
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall";
 	struct fg_h1 h;
-	struct seen s;
+	struct message_log s;
 
-	init(&h, &s, false);
+	init_parser(&h, &s, false);
 	fg_h1_feed(&h, text, sizeof(text) - 1);
 	g_assert_false(h.ended);
 	g_assert_true(fg_h1_eof(&h));
 	g_assert_cmpstr(s.body->str, ==, "all of it");
-	done(&h, &s);
-	/* With a length, the end of the connection completes nothing. */
-	init(&h, &s, false);
-	fg_h1_feed(&h, cut, sizeof(cut) - 1);
+	clear_parser(&h, &s);
+	/* An answer shorter than its Content-Length is incomplete. */
+	init_parser(&h, &s, false);
+	fg_h1_feed(&h, truncated, sizeof(truncated) - 1);
 	g_assert_false(fg_h1_eof(&h));
-	done(&h, &s);
+	clear_parser(&h, &s);
 }
 
-static void test_hop_fields(void)
+static void test_hop_by_hop_fields(void)
 {
 	static const char text[] = "GET / HTTP/1.1\r\nHost: h\r\nX-One: 1\r\n"
 				   "Connection: keep-alive, x-one\r\n"
 				   "X-Two: 2\r\n\r\n";
 	struct fg_h1 h;
-	struct seen s;
+	struct message_log s;
 
-	init(&h, &s, true);
+	init_parser(&h, &s, true);
 	fg_h1_feed(&h, text, sizeof(text) - 1);
 	g_assert_true(h.ended);
 	g_assert_false(fg_h1_is_hop_by_hop(&h.head, 0));
 	g_assert_true(fg_h1_is_hop_by_hop(&h.head, 1));
 	g_assert_true(fg_h1_is_hop_by_hop(&h.head, 2));
 	g_assert_false(fg_h1_is_hop_by_hop(&h.head, 3));
-	done(&h, &s);
+	clear_parser(&h, &s);
 }
 
-/* ---- Requests on the platform ---- */
+/* ---- Requests in the platform's format ---- */
 
-/* What only the system sets is never taken from a caller. */
+/* Header fields that only the system sets are not forwarded from a caller. */
 static void test_system_fields(void)
 {
 	static const char text[] =
@@ -179,10 +180,10 @@
 				       .has_body = true };
 	struct fg_call call;
 	struct fg_h1 h;
-	struct seen s;
+	struct message_log s;
 	GString *out = g_string_new(NULL);
 
-	init(&h, &s, true);
+	init_parser(&h, &s, true);
 	fg_h1_feed(&h, text, sizeof(text) - 1);
 	g_assert_true(h.ended);
 	g_assert_true(fgp_wire.call_read(&h.head, &call));
@@ -207,7 +208,7 @@
 	g_assert_null(strstr(out->str, "Expect-Instance: z"));
 	fg_call_clear(&call);
 	g_string_free(out, TRUE);
-	done(&h, &s);
+	clear_parser(&h, &s);
 }
 
 /* ---- Configuration, entries, rows ---- */
@@ -228,13 +229,13 @@
 
 static void test_config(void)
 {
-	GError *why = NULL;
+	GError *error = NULL;
 	struct fg_routes *t =
-		fgp_wire.config_read(config, strlen(config), &why);
+		fgp_wire.config_read(config, strlen(config), &error);
 	const struct fg_route *r;
-	uint32_t to_second = 0;
+	uint32_t n_second_service = 0;
 
-	g_assert_no_error(why);
+	g_assert_no_error(error);
 	g_assert_cmpuint(t->version, ==, 7);
 	g_assert_cmpuint(t->limits.head_max_bytes, ==, 16384);
 	r = fg_routes_find(t, "h.EXAMPLE:80", "/a/x?q=/a/b/");
@@ -246,8 +247,8 @@
 	g_assert_cmpstr(r->name, ==, "r2");
 	g_assert_true(r->idempotent);
 	for (uint64_t draw = 0; draw < 100; draw++)
-		to_second += fg_route_choose_service(r, draw);
-	g_assert_cmpuint(to_second, ==, 10);
+		n_second_service += fg_route_choose_service(r, draw);
+	g_assert_cmpuint(n_second_service, ==, 10);
 	g_assert_null(fg_routes_find(t, "h.example", "/a"));
 	g_assert_null(fg_routes_find(t, "other", "/a/"));
 	g_assert_null(fg_routes_find(t, "h.example", "/x?/a/"));
@@ -270,12 +271,12 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-		GError *why = NULL;
+		GError *error = NULL;
 
 		g_assert_null(
-			fgp_wire.config_read(bad[i], strlen(bad[i]), &why));
-		g_assert_nonnull(why);
-		g_error_free(why);
+			fgp_wire.config_read(bad[i], strlen(bad[i]), &error));
+		g_assert_nonnull(error);
+		g_error_free(error);
 	}
 }
 
@@ -295,19 +296,19 @@
 		"\"odd\"}",
 	};
 	struct fg_ep_facts facts;
-	GError *why = NULL;
+	GError *error = NULL;
 
 	g_assert_true(
-		fgp_wire.entry_read("i-1", text, strlen(text), &facts, &why));
+		fgp_wire.entry_read("i-1", text, strlen(text), &facts, &error));
 	g_assert_cmpuint(facts.born, ==, 123);
 	g_assert_cmpuint(facts.n_resident, ==, 3);
 	g_assert_cmpstr(facts.resident[1].adapter, ==, "a1");
 	g_assert_cmpuint(facts.resident[1].version, ==, 3);
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
 		g_assert_false(fgp_wire.entry_read(
-			"i-1", bad[i], strlen(bad[i]), &facts, &why));
-		g_assert_nonnull(why);
-		g_clear_error(&why);
+			"i-1", bad[i], strlen(bad[i]), &facts, &error));
+		g_assert_nonnull(error);
+		g_clear_error(&error);
 	}
 }
 
@@ -319,10 +320,10 @@
 		"\"ver\":5,\"removed\":true},{\"odd\":1}],\"ver\":9,"
 		"\"hasMore\":true}";
 	struct fg_store_rows rows;
-	GError *why = NULL;
+	GError *error = NULL;
 	const struct fg_store_row *row;
 
-	g_assert_true(fgp_wire.rows_read(text, strlen(text), &rows, &why));
+	g_assert_true(fgp_wire.rows_read(text, strlen(text), &rows, &error));
 	g_assert_cmpuint(rows.rows->len, ==, 2);
 	row = rows.rows->pdata[0];
 	g_assert_cmpstr(row->value, ==, "node-1");
@@ -331,10 +332,10 @@
 	g_assert_true(rows.more);
 	g_assert_cmpuint(rows.version, ==, 9);
 	fg_store_rows_clear(&rows);
-	g_assert_false(fgp_wire.rows_read("{}", 2, &rows, &why));
-	g_clear_error(&why);
-	g_assert_false(fgp_wire.rows_read("x", 1, &rows, &why));
-	g_clear_error(&why);
+	g_assert_false(fgp_wire.rows_read("{}", 2, &rows, &error));
+	g_clear_error(&error);
+	g_assert_false(fgp_wire.rows_read("x", 1, &rows, &error));
+	g_clear_error(&error);
 }
 
 static void test_order(void)
@@ -348,7 +349,7 @@
 				       .fence = 41 };
 	struct fg_wire_request call = fgp_wire.order_write("h", &order);
 
-	/* An order for the model itself names no adapter. */
+	/* An order for the base model has no adapter field. */
 	g_assert_null(strstr(call.head_and_body, "adapter"));
 	g_assert_nonnull(strstr(call.head_and_body, "\"fenceToken\":41"));
 	g_assert_nonnull(strstr(call.head_and_body, "\"expected\":4"));
@@ -370,15 +371,16 @@
 		"\"a1@1\"]}],\"busy\":true,\"sequence\":11,\"coming\":["
 		"\"m/a2@2\"],\"born\":5}";
 	struct fg_engine_report report;
-	GError *why = NULL;
+	GError *error = NULL;
 
-	g_assert_true(fgp_wire.report_read(text, strlen(text), &report, &why));
+	g_assert_true(
+		fgp_wire.report_read(text, strlen(text), &report, &error));
 	g_assert_true(report.busy);
 	g_assert_cmpuint(report.n_loading, ==, 1);
 	g_assert_cmpstr(report.loading[0].adapter, ==, "a2");
 	g_assert_cmpuint(report.loading[0].version, ==, 2);
-	g_assert_false(fgp_wire.report_read("{}", 2, &report, &why));
-	g_clear_error(&why);
+	g_assert_false(fgp_wire.report_read("{}", 2, &report, &error));
+	g_clear_error(&error);
 }
 
 /* ---- Events ---- */
@@ -398,7 +400,7 @@
 	fg_events_consume(&e, (size_t)n);
 	g_assert_cmpuint(e.partial->len, ==, 0);
 	g_assert_cmpuint(e.n_complete, ==, 2);
-	/* A begun event is forgotten when another endpoint goes on. */
+	/* A partial event is dropped when another endpoint resumes. */
 	fg_events_feed(&e, "id: 6\n", 6);
 	fg_events_drop_partial(&e);
 	g_assert_cmpuint(e.last_id, ==, 5);
@@ -423,7 +425,7 @@
 	fg_mesh_packet packet = { .format = FG_MESH_FORMAT,
 				  .incarnation = 77,
 				  .body.kind = FG_MESH_LOAD_REQ };
-	fg_mesh_packet back;
+	fg_mesh_packet decoded;
 	char buf[FG_MESH_PACKET_BYTES];
 	struct fg_rand rand;
 	size_t len;
@@ -431,17 +433,17 @@
 	packet.body.fg_mesh_body_u.load_req.model = (char *)"m";
 	packet.body.fg_mesh_body_u.load_req.adapter = (char *)"a1";
 	g_assert_true(fg_mesh_encode(&packet, buf, sizeof(buf), &len));
-	g_assert_true(fg_mesh_decode(buf, len, &back));
-	g_assert_cmpstr(back.body.fg_mesh_body_u.load_req.adapter, ==, "a1");
-	fg_mesh_clear(&back);
-	g_assert_false(fg_mesh_decode(buf, len - 1, &back));
+	g_assert_true(fg_mesh_decode(buf, len, &decoded));
+	g_assert_cmpstr(decoded.body.fg_mesh_body_u.load_req.adapter, ==, "a1");
+	fg_mesh_clear(&decoded);
+	g_assert_false(fg_mesh_decode(buf, len - 1, &decoded));
 	g_assert_false(fg_mesh_encode(&packet, buf, 10, &len));
 	fg_rand_seed(&rand, 1);
 	for (int i = 0; i < 2000; i++) {
 		for (size_t k = 0; k < 64; k++)
 			buf[k] = (char)fg_rand_next(&rand);
-		if (fg_mesh_decode(buf, 64, &back))
-			fg_mesh_clear(&back);
+		if (fg_mesh_decode(buf, 64, &decoded))
+			fg_mesh_clear(&decoded);
 	}
 }
 
@@ -464,19 +466,19 @@
 	g_assert_false(fg_peer_row_parse("b", "0a r d", &row));
 	g_assert_true(fg_peer_row_parse("b", "0a r d x y", &row));
 	fg_peers_put(p, 1000, &row);
-	/* A row alone does not make an instance serve. */
+	/* An instance is not ready before its first heartbeat. */
 	g_assert_false(fg_peer_is_ready(fg_peers_find(p, 10), 1000));
 	fg_peers_on_heartbeat(p, 1100, 10, 1, &hb);
 	g_assert_true(fg_peer_is_ready(fg_peers_find(p, 10), 1200));
 	g_assert_false(fg_peer_is_ready(fg_peers_find(p, 10),
 					1100 + FG_PEER_TIMEOUT_MS));
-	/* A heartbeat that was overtaken does not undo a newer one. */
+	/* A heartbeat that arrives late does not replace a newer state. */
 	hb.state = FG_MESH_LEAVING;
 	fg_peers_on_heartbeat(p, 1300, 10, 3, &hb);
 	hb.state = FG_MESH_READY;
 	fg_peers_on_heartbeat(p, 1300, 10, 2, &hb);
 	g_assert_false(fg_peer_is_ready(fg_peers_find(p, 10), 1300));
-	/* A new incarnation starts unheard. */
+	/* Heartbeats of an earlier incarnation do not count for a new one. */
 	row.incarnation = 11;
 	fg_peers_put(p, 1400, &row);
 	g_assert_null(fg_peers_find(p, 10));
@@ -486,7 +488,7 @@
 
 /* ---- Settings ---- */
 
-#define GOOD                                                                   \
+#define VALID_SETTINGS                                                         \
 	"name: n\nregion: r\ndc: d\nfront: 10.0.0.1:1\nready: 10.0.0.1:2\n"    \
 	"directory: 10.0.0.1:3\nmesh: 10.0.0.1:4\nstore: 10.0.0.2:5\n"         \
 	"retry_ratio: 0.2\nretry_slack: 58\nstop_grace_s: 8\n"                 \
@@ -494,10 +496,10 @@
 
 static void test_settings(void)
 {
-	GError *why = NULL;
-	struct fg_gwconf *c = fg_gwconf_parse("f", GOOD, &why);
+	GError *error = NULL;
+	struct fg_gwconf *c = fg_gwconf_parse("f", VALID_SETTINGS, &error);
 
-	g_assert_no_error(why);
+	g_assert_no_error(error);
 	g_assert_cmpuint(c->retry_percent, ==, 20);
 	g_assert_cmpuint(c->stop_grace_ms, ==, 8000);
 	g_assert_cmpstr(fg_gwconf_region(c, "d"), ==, "r");
@@ -507,28 +509,28 @@
 
 static void check_bad_settings(const char *extra, const char *word)
 {
-	char *text = g_strconcat(GOOD, extra, NULL);
-	GError *why = NULL;
+	char *text = g_strconcat(VALID_SETTINGS, extra, NULL);
+	GError *error = NULL;
 
-	g_assert_null(fg_gwconf_parse("f", text, &why));
-	g_assert_nonnull(strstr(why->message, word));
-	g_error_free(why);
+	g_assert_null(fg_gwconf_parse("f", text, &error));
+	g_assert_nonnull(strstr(error->message, word));
+	g_error_free(error);
 	g_free(text);
 }
 
 static void test_bad_settings(void)
 {
-	GError *why = NULL;
+	GError *error = NULL;
 
 	check_bad_settings("retri: 1\n", "retri");
 	check_bad_settings("metrics: host:1\n", "metrics");
 	check_bad_settings("lookup_ttl_s: soon\n", "lookup_ttl_s");
 	check_bad_settings("log_level: loud\n", "log_level");
 	check_bad_settings("version_ms: -4\n", "version_ms");
-	g_assert_null(fg_gwconf_parse("f", "name: n\n", &why));
-	g_clear_error(&why);
-	g_assert_null(fg_gwconf_load("/nonexistent/file", &why));
-	g_clear_error(&why);
+	g_assert_null(fg_gwconf_parse("f", "name: n\n", &error));
+	g_clear_error(&error);
+	g_assert_null(fg_gwconf_load("/nonexistent/file", &error));
+	g_clear_error(&error);
 }
 
 int main(int argc, char **argv)
@@ -537,7 +539,7 @@
 	g_test_add_func("/h1/pipelined", test_pipelined);
 	g_test_add_func("/h1/bad", test_bad_requests);
 	g_test_add_func("/h1/no_length", test_answer_without_length);
-	g_test_add_func("/h1/hop", test_hop_fields);
+	g_test_add_func("/h1/hop", test_hop_by_hop_fields);
 	g_test_add_func("/platform/system_fields", test_system_fields);
 	g_test_add_func("/platform/config", test_config);
 	g_test_add_func("/platform/bad_config", test_bad_config);
