--- a/lib/peer/fg_msg.c
+++ b/lib/peer/fg_msg.c
@@ -1,4 +1,3 @@
-/* Building, copying and freeing inner messages. */
 #include "peer/fg_msg.h"
 
 #include <assert.h>
@@ -12,7 +11,7 @@
 	if (m == NULL)
 		abort();
 	m->body.type = type;
-	/* XDR strings must not be NULL. */
+	/* XDR cannot encode a NULL string. */
 	if (type == FG_MSG_CONFIG_TELL)
 		m->body.fg_body_u.config_tell.text = strdup("");
 	return m;
@@ -52,7 +51,7 @@
 	return xdr_sizeof((xdrproc_t)xdr_fg_msg, (void *)m);
 }
 
-static const char *const names[] = {
+static const char *const type_names[] = {
 	[FG_MSG_PING] = "ping",
 	[FG_MSG_PONG] = "pong",
 	[FG_MSG_GRANT_REQ] = "grant_req",
@@ -74,10 +73,10 @@
 
 const char *fg_msg_type_name(fg_msg_type type)
 {
-	if ((size_t)type >= sizeof(names) / sizeof(names[0]) ||
-	    names[type] == NULL)
+	if ((size_t)type >= sizeof(type_names) / sizeof(type_names[0]) ||
+	    type_names[type] == NULL)
 		return "invalid";
-	return names[type];
+	return type_names[type];
 }
 
 void fg_msg_set_avs(fg_resident *r, const fg_av *av, size_t n)
--- a/lib/peer/fg_msg.h
+++ b/lib/peer/fg_msg.h
@@ -1,8 +1,8 @@
 /*
- * fg_msg - building, copying and freeing inner messages.
+ * fg_msg - allocates, copies and frees messages between instances.
  *
- * The types come from fg_proto.x. Lists and texts inside a message are
- * malloc'ed and belong to it.
+ * The types are generated from fg_proto.x. Lists and texts in a message are
+ * malloc'ed and owned by the message. A failed allocation ends the process.
  */
 #ifndef FG_MSG_H
 #define FG_MSG_H
@@ -12,22 +12,22 @@
 
 #include "peer/fg_proto.h"
 
-/* A zeroed message of the given type. Never NULL. */
+/* Returns a zeroed message, which the caller frees with fg_msg_free(). */
 fg_msg *fg_msg_new(fg_msg_type type);
 
-/* Deep copy. Never NULL. */
+/* Returns a deep copy, which the caller frees with fg_msg_free(). */
 fg_msg *fg_msg_dup(const fg_msg *m);
 
-/* Frees the message with its lists; NULL is allowed. */
+/* Frees the message and all it owns; NULL is allowed. */
 void fg_msg_free(fg_msg *m);
 
-/* Size on the wire in bytes, without the batch header. */
+/* Returns the encoded size in bytes, without the batch header. */
 size_t fg_msg_wire_bytes(const fg_msg *m);
 
-/* Name such as "grant_req", for logs and counters; never NULL. */
+/* Returns a name such as "grant_req" for logs and counters, or "invalid". */
 const char *fg_msg_type_name(fg_msg_type type);
 
-/* Copies an address list into a message list (malloc'ed). */
+/* Replaces the list r->av by a copy of n <= FG_LIST_MAX items. */
 void fg_msg_set_avs(fg_resident *r, const fg_av *av, size_t n);
 
 static inline int fg_av_equal(fg_av a, fg_av b)
@@ -40,7 +40,7 @@
 	return a.adapter == 0;
 }
 
-/* Key of a hash table over adapters and versions. */
+/* Returns a unique hash table key for an adapter and its version. */
 static inline uint64_t fg_av_key(fg_av a)
 {
 	return ((uint64_t)a.adapter << 32) | a.ver;
--- a/lib/peer/fg_peer.c
+++ b/lib/peer/fg_peer.c
@@ -1,4 +1,4 @@
-/* Life cycle, cuts and counters of the inner transport. */
+/* Start and stop, delivery, cuts and counters. */
 #include "peer/fg_peer.h"
 
 #include <ck_pr.h>
@@ -48,7 +48,7 @@
 	bool cut;
 
 	pthread_mutex_lock(&p->lock);
-	cut = g_hash_table_contains(p->cuts, &id);
+	cut = g_hash_table_contains(p->cut_ids, &id);
 	pthread_mutex_unlock(&p->lock);
 	return cut;
 }
@@ -82,8 +82,8 @@
 static void peer_free(struct fg_peer *p)
 {
 	g_hash_table_destroy(p->senders);
-	g_hash_table_destroy(p->cuts);
-	pthread_cond_destroy(&p->ended);
+	g_hash_table_destroy(p->cut_ids);
+	pthread_cond_destroy(&p->sender_ended);
 	pthread_mutex_destroy(&p->lock);
 	g_free(p);
 }
@@ -97,7 +97,7 @@
 
 	if (!fg_peer_addr_parse(conf->listen, &addr)) {
 		g_set_error(error, FG_PEER_ERROR, FG_PEER_ERR_ADDRESS,
-			    "not an address of the form IP:port: %s",
+			    "invalid listen address, expected IP:port: %s",
 			    conf->listen);
 		return NULL;
 	}
@@ -108,10 +108,10 @@
 	p->receive = receive;
 	p->arg = arg;
 	pthread_mutex_init(&p->lock, NULL);
-	pthread_cond_init(&p->ended, NULL);
+	pthread_cond_init(&p->sender_ended, NULL);
 	p->senders = g_hash_table_new(g_int64_hash, g_int64_equal);
-	p->cuts = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					NULL);
+	p->cut_ids = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
+					   NULL);
 	p->listener = fg_listener_start(p, &addr, error);
 	if (p->listener == NULL) {
 		peer_free(p);
@@ -133,9 +133,9 @@
 {
 	pthread_mutex_lock(&p->lock);
 	if (cut)
-		g_hash_table_add(p->cuts, g_memdup2(&id, sizeof(id)));
+		g_hash_table_add(p->cut_ids, g_memdup2(&id, sizeof(id)));
 	else
-		g_hash_table_remove(p->cuts, &id);
+		g_hash_table_remove(p->cut_ids, &id);
 	pthread_mutex_unlock(&p->lock);
 }
 
--- a/lib/peer/fg_peer_client.c
+++ b/lib/peer/fg_peer_client.c
@@ -1,14 +1,14 @@
 /*
- * Senders of the inner transport: one thread per peer with queued messages.
+ * Senders: one thread per peer that has queued messages.
  *
- * A batch leaves as soon as the thread is free. Most calls are sent without
- * waiting for the reply, so that a message never waits for a round trip of
- * the one before; a call that does wait follows at least each SYNC_MS or
- * SYNC_CALLS and finds out whether the peer still answers. The replies not
- * waited for are skipped by their transaction id.
+ * Most calls do not wait for their reply, so that a batch is not delayed by the
+ * round trip of the batch before. After SYNC_MS or SYNC_CALLS at the latest,
+ * one call waits for its reply, which shows whether the peer still answers.
+ * Replies to earlier calls are skipped by their transaction id.
  *
  * The send buffer holds the largest record, so that each record is a single
- * fragment: libtirpc's servers accept no others on non-blocking connections.
+ * fragment: a libtirpc server accepts no other records on a non-blocking
+ * connection.
  */
 #include <assert.h>
 #include <ck_pr.h>
@@ -29,23 +29,23 @@
 #define SYNC_CALLS 32
 #define BACKOFF_MIN_MS 50
 #define BACKOFF_MAX_MS 2000
-#define IDLE_MS 30000 /* a sender unused this long ends its thread */
+#define IDLE_MS 30000 /* without messages, before the thread ends */
 
 struct fg_sender {
 	struct fg_peer *p;
 	uint64_t id;
 	struct fg_peer_addr addr;
-	GQueue queue; /* fg_msg, guarded by fg_peer.lock as the flags are */
-	pthread_cond_t wake;
-	bool running;  /* the thread exists */
-	bool sleeping; /* the thread waits for wake */
-	bool gone;     /* removed from the table; the thread frees it */
-
-	/* Used by the thread alone. */
-	CLIENT *client;
-	fg_ms synced;
-	uint32_t unread; /* calls whose reply was not waited for */
-	uint32_t backoff_ms;
+	GQueue queue; /* fg_msg; like the flags guarded by fg_peer.lock */
+	pthread_cond_t wake; /* a message was queued, or the thread must end */
+	bool running;	     /* the thread exists */
+	bool sleeping;	     /* the thread waits for a message */
+	bool removed;	     /* from fg_peer.senders; the thread frees it */
+
+	/* Used by the thread only. */
+	CLIENT *client;	     /* NULL: not connected */
+	fg_ms synced_at;     /* last reply that was waited for */
+	uint32_t n_one_way;  /* calls without a wait since then */
+	uint32_t backoff_ms; /* of the last pause; 0: no failure */
 };
 
 /* ---- Connection ---- */
@@ -72,7 +72,7 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
 		   sizeof(timeout_ms));
-	/* Bounds the write of a batch to a peer that reads nothing. */
+	/* Limits how long a write to a peer that does not read may block. */
 	setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &tv, sizeof(tv));
 }
 
@@ -96,7 +96,8 @@
 	return fd;
 }
 
-/* libtirpc makes its shared credentials at the first client, without a lock. */
+/* The lock is needed because libtirpc allocates its shared credentials with the
+ * first client, without a lock of its own. */
 static CLIENT *create_client(int fd, struct netbuf *raddr)
 {
 	static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
@@ -127,8 +128,8 @@
 		return false;
 	}
 	clnt_control(s->client, CLSET_FD_CLOSE, NULL);
-	s->synced = 0;
-	s->unread = 0;
+	s->synced_at = 0;
+	s->n_one_way = 0;
 	return true;
 }
 
@@ -143,8 +144,9 @@
 
 /* ---- One exchange ---- */
 
-/* Moves messages into batch up to its limits; returns their bytes. The
- * messages are moved by value, their shells are freed. */
+/* Moves queued messages into batch up to its limits and returns their size in
+ * bytes. The message structs are copied and freed; the batch owns the lists and
+ * texts in them. */
 static size_t fill_batch(struct fg_sender *s, fg_batch *batch)
 {
 	size_t total_bytes = 0;
@@ -166,56 +168,60 @@
 	return total_bytes;
 }
 
-static enum clnt_stat call_and_wait(struct fg_sender *s, fg_batch *batch)
+static enum clnt_stat call_sync(struct fg_sender *s, fg_batch *batch)
 {
 	struct timeval tv = { .tv_sec = s->p->timeout_ms / FG_MS_PER_S,
 			      .tv_usec =
 				      s->p->timeout_ms % FG_MS_PER_S * 1000 };
-	fg_batch rep;
-	enum clnt_stat st;
-
-	memset(&rep, 0, sizeof(rep));
-	st = clnt_call(s->client, FG_EXCHANGE, (xdrproc_t)xdr_fg_batch,
-		       (char *)batch, (xdrproc_t)xdr_fg_batch, (char *)&rep,
-		       tv);
-	if (st == RPC_SUCCESS) {
-		s->synced = fg_clock_now();
-		s->unread = 0;
-		fg_peer_deliver(s->p, &rep, FG_RPC_REPLY_BYTES);
+	fg_batch reply;
+	enum clnt_stat status;
+
+	memset(&reply, 0, sizeof(reply));
+	status = clnt_call(s->client, FG_EXCHANGE, (xdrproc_t)xdr_fg_batch,
+			   (char *)batch, (xdrproc_t)xdr_fg_batch,
+			   (char *)&reply, tv);
+	if (status == RPC_SUCCESS) {
+		s->synced_at = fg_clock_now();
+		s->n_one_way = 0;
+		fg_peer_deliver(s->p, &reply, FG_RPC_REPLY_BYTES);
 	}
-	xdr_free((xdrproc_t)xdr_fg_batch, (char *)&rep);
-	return st;
+	xdr_free((xdrproc_t)xdr_fg_batch, (char *)&reply);
+	return status;
 }
 
-/* Sends without waiting: a zero time limit makes the call return at once. */
+/* Sends without waiting for the reply: with a timeout of 0, clnt_call() returns
+ * at once. */
 static enum clnt_stat call_one_way(struct fg_sender *s, fg_batch *batch)
 {
-	struct timeval none = { 0, 0 };
-	enum clnt_stat st;
-
-	/* A NULL decoder would hold the record until the buffer is full. */
-	st = clnt_call(s->client, FG_EXCHANGE, (xdrproc_t)xdr_fg_batch,
-		       (char *)batch, (xdrproc_t)xdr_fg_batch, NULL, none);
-	s->unread++;
-	return st == RPC_TIMEDOUT ? RPC_SUCCESS : st;
+	struct timeval no_wait = { 0, 0 };
+	enum clnt_stat status;
+
+	/* With a NULL decoder, libtirpc would not send the record before its
+	 * buffer is full. */
+	status = clnt_call(s->client, FG_EXCHANGE, (xdrproc_t)xdr_fg_batch,
+			   (char *)batch, (xdrproc_t)xdr_fg_batch, NULL,
+			   no_wait);
+	s->n_one_way++;
+	return status == RPC_TIMEDOUT ? RPC_SUCCESS : status;
 }
 
 static bool send_batch(struct fg_sender *s, fg_batch *batch)
 {
-	enum clnt_stat st;
+	enum clnt_stat status;
 
 	if (!sender_connect(s))
 		return false;
-	if (s->unread >= SYNC_CALLS || fg_clock_now() - s->synced >= SYNC_MS)
-		st = call_and_wait(s, batch);
+	if (s->n_one_way >= SYNC_CALLS ||
+	    fg_clock_now() - s->synced_at >= SYNC_MS)
+		status = call_sync(s, batch);
 	else
-		st = call_one_way(s, batch);
-	if (st != RPC_SUCCESS)
+		status = call_one_way(s, batch);
+	if (status != RPC_SUCCESS)
 		sender_disconnect(s);
-	return st == RPC_SUCCESS;
+	return status == RPC_SUCCESS;
 }
 
-/* Sends one batch; false after a failure that asks for a pause. */
+/* Sends one batch; false when the connection or the call failed. */
 static bool sender_exchange(struct fg_sender *s)
 {
 	struct fg_peer_counters *c = &s->p->counters;
@@ -247,7 +253,7 @@
 
 /* ---- Thread ---- */
 
-static struct timespec time_after(uint32_t ms)
+static struct timespec deadline_after(uint32_t ms)
 {
 	struct timespec ts;
 
@@ -261,34 +267,35 @@
 	return ts;
 }
 
-/* Waits for a message; false when the thread must end. */
+/* Waits for a message, with fg_peer.lock held; false when the thread must end
+ * because it was idle, removed or stopped. */
 static bool sender_wait(struct fg_sender *s)
 {
-	struct timespec until = time_after(IDLE_MS);
+	struct timespec deadline = deadline_after(IDLE_MS);
 	int err = 0;
 
-	while (!s->gone && !s->p->stopping && g_queue_is_empty(&s->queue) &&
+	while (!s->removed && !s->p->stopping && g_queue_is_empty(&s->queue) &&
 	       err == 0) {
 		s->sleeping = true;
-		err = pthread_cond_timedwait(&s->wake, &s->p->lock, &until);
+		err = pthread_cond_timedwait(&s->wake, &s->p->lock, &deadline);
 		s->sleeping = false;
 	}
-	return !s->gone && !s->p->stopping && !g_queue_is_empty(&s->queue);
+	return !s->removed && !s->p->stopping && !g_queue_is_empty(&s->queue);
 }
 
-/* Pauses after a failure, twice as long each time. */
+/* Pauses after a failure, for twice as long as after the one before. */
 static void sender_back_off(struct fg_sender *s)
 {
-	struct timespec until;
+	struct timespec deadline;
 	int err = 0;
 
 	s->backoff_ms = s->backoff_ms == 0 ? BACKOFF_MIN_MS : s->backoff_ms * 2;
 	if (s->backoff_ms > BACKOFF_MAX_MS)
 		s->backoff_ms = BACKOFF_MAX_MS;
-	until = time_after(s->backoff_ms);
+	deadline = deadline_after(s->backoff_ms);
 	pthread_mutex_lock(&s->p->lock);
-	while (!s->gone && !s->p->stopping && err == 0)
-		err = pthread_cond_timedwait(&s->wake, &s->p->lock, &until);
+	while (!s->removed && !s->p->stopping && err == 0)
+		err = pthread_cond_timedwait(&s->wake, &s->p->lock, &deadline);
 	pthread_mutex_unlock(&s->p->lock);
 }
 
@@ -325,10 +332,10 @@
 
 	pthread_mutex_lock(&p->lock);
 	s->running = false;
-	if (s->gone)
+	if (s->removed)
 		sender_free(s);
-	p->threads--;
-	pthread_cond_broadcast(&p->ended);
+	p->n_sender_threads--;
+	pthread_cond_broadcast(&p->sender_ended);
 	pthread_mutex_unlock(&p->lock);
 	return NULL;
 }
@@ -343,12 +350,12 @@
 	pthread_attr_setstacksize(&attr, STACK_BYTES);
 	pthread_attr_setdetachstate(&attr, PTHREAD_CREATE_DETACHED);
 	s->running = true;
-	s->p->threads++;
+	s->p->n_sender_threads++;
 	err = pthread_create(&tid, &attr, sender_run, s);
 	pthread_attr_destroy(&attr);
 	if (err != 0) {
 		s->running = false;
-		s->p->threads--;
+		s->p->n_sender_threads--;
 	}
 	return err == 0;
 }
@@ -373,13 +380,13 @@
 
 /* ---- Public ---- */
 
-/* Queues msg with the lock held; false when it must be dropped. */
-static bool enqueue(struct fg_peer *p, uint64_t id,
-		    const struct fg_peer_addr *addr, fg_msg *msg)
+/* Queues msg, with fg_peer.lock held; false when the caller must drop it. */
+static bool enqueue_msg(struct fg_peer *p, uint64_t id,
+			const struct fg_peer_addr *addr, fg_msg *msg)
 {
 	struct fg_sender *s;
 
-	if (p->stopping || g_hash_table_contains(p->cuts, &id))
+	if (p->stopping || g_hash_table_contains(p->cut_ids, &id))
 		return false;
 	s = g_hash_table_lookup(p->senders, &id);
 	if (s == NULL)
@@ -410,7 +417,7 @@
 	}
 	copy = fg_msg_dup(msg);
 	pthread_mutex_lock(&p->lock);
-	queued = enqueue(p, id, &parsed, copy);
+	queued = enqueue_msg(p, id, &parsed, copy);
 	pthread_mutex_unlock(&p->lock);
 	if (!queued) {
 		ck_pr_add_64(&p->counters.dropped_msgs, 1);
@@ -418,11 +425,11 @@
 	}
 }
 
-/* Takes a sender out of the table, which the caller has locked. */
-static void sender_forget(struct fg_sender *s)
+/* Removes a sender, with fg_peer.lock held, and ends its thread. */
+static void sender_remove(struct fg_sender *s)
 {
 	g_hash_table_remove(s->p->senders, &s->id);
-	s->gone = true;
+	s->removed = true;
 	if (s->running)
 		pthread_cond_signal(&s->wake);
 	else
@@ -436,21 +443,21 @@
 	pthread_mutex_lock(&p->lock);
 	s = g_hash_table_lookup(p->senders, &id);
 	if (s != NULL)
-		sender_forget(s);
+		sender_remove(s);
 	pthread_mutex_unlock(&p->lock);
 }
 
 void fg_senders_stop(struct fg_peer *p)
 {
-	GList *all;
+	GList *senders;
 
 	pthread_mutex_lock(&p->lock);
 	p->stopping = true;
-	all = g_hash_table_get_values(p->senders);
-	for (GList *it = all; it != NULL; it = it->next)
-		sender_forget(it->data);
-	g_list_free(all);
-	while (p->threads > 0)
-		pthread_cond_wait(&p->ended, &p->lock);
+	senders = g_hash_table_get_values(p->senders);
+	for (GList *it = senders; it != NULL; it = it->next)
+		sender_remove(it->data);
+	g_list_free(senders);
+	while (p->n_sender_threads > 0)
+		pthread_cond_wait(&p->sender_ended, &p->lock);
 	pthread_mutex_unlock(&p->lock);
 }
--- a/lib/peer/fg_peer_server.c
+++ b/lib/peer/fg_peer_server.c
@@ -1,12 +1,12 @@
 /*
- * Server of the inner transport: one thread serves the listeners of the
- * process, of which a daemon has one.
+ * Server: one thread serves all listeners of the process. A daemon has one
+ * listener, a unit test several.
  *
- * libtirpc keeps its server transports in process-wide tables, so this thread
- * alone creates, serves and destroys them. Connections are not blocking and
- * their records are bounded: a peer that stops in the middle of a record
- * delays nobody, and a hostile length is refused. Nothing is registered with
- * rpcbind.
+ * libtirpc keeps its server transports in process-wide tables, therefore only
+ * this thread creates, serves and destroys them. Connections are non-blocking,
+ * so that a peer that stops in the middle of a record does not delay others.
+ * The size of a record is bounded; a larger announced length ends the
+ * connection. Nothing is registered with rpcbind.
  */
 #include <assert.h>
 #include <errno.h>
@@ -21,10 +21,10 @@
 
 #define BACKLOG 512
 #define RPC_SEND_BYTES 8192
-#define KEEPALIVE_S 10	     /* idle time before a connection is probed */
-#define KEEPALIVE_PROBES 3   /* a dead connection is closed after these */
-#define USER_TIMEOUT_MS 5000 /* unacknowledged replies end a connection */
-#define POLL_PAUSE_MS 20     /* after poll() failed */
+#define KEEPALIVE_S 10	     /* idle time before a probe, and between probes */
+#define KEEPALIVE_PROBES 3   /* unanswered probes that end a connection */
+#define USER_TIMEOUT_MS 5000 /* an unacknowledged reply ends a connection */
+#define POLL_RETRY_MS 20     /* pause after poll() failed */
 
 struct fg_listener {
 	struct fg_peer *p;
@@ -36,9 +36,9 @@
 };
 
 static struct {
-	pthread_mutex_t lock; /* guards all below */
-	pthread_cond_t changed;
-	GPtrArray *listeners; /* NULL while no thread runs */
+	pthread_mutex_t lock;	/* guards the fields below */
+	pthread_cond_t changed; /* a listener was opened or closed */
+	GPtrArray *listeners;	/* NULL while no thread runs */
 	int wake_fd;
 } service = { .lock = PTHREAD_MUTEX_INITIALIZER,
 	      .changed = PTHREAD_COND_INITIALIZER,
@@ -46,8 +46,10 @@
 
 /* ---- Dispatch ---- */
 
-static bool same_endpoint(const struct sockaddr_storage *listening,
-			  const struct sockaddr_storage *local)
+/* True when a connection with this local address was accepted by a socket that
+ * listens on `listening`, which may be a wildcard address. */
+static bool is_accepted_by(const struct sockaddr_storage *listening,
+			   const struct sockaddr_storage *local)
 {
 	if (listening->ss_family != local->ss_family)
 		return false;
@@ -67,7 +69,7 @@
 		IN6_ARE_ADDR_EQUAL(&a->sin6_addr, &b->sin6_addr));
 }
 
-static bool local_address(int fd, struct sockaddr_storage *local)
+static bool get_local_address(int fd, struct sockaddr_storage *local)
 {
 	socklen_t len = sizeof(*local);
 
@@ -75,29 +77,29 @@
 	return getsockname(fd, (struct sockaddr *)local, &len) == 0;
 }
 
-/* The listener that a connection came in by; NULL when it is closing. */
-static struct fg_listener *listener_of(int fd)
+/* Returns the listener that accepted a connection; NULL when it is closing. */
+static struct fg_listener *find_listener(int fd)
 {
 	struct sockaddr_storage local;
 	struct fg_listener *found = NULL;
 
-	if (!local_address(fd, &local))
+	if (!get_local_address(fd, &local))
 		return NULL;
 	pthread_mutex_lock(&service.lock);
 	for (guint i = 0; i < service.listeners->len && found == NULL; i++) {
 		struct fg_listener *l = service.listeners->pdata[i];
 
-		if (!l->closing && same_endpoint(&l->local, &local))
+		if (!l->closing && is_accepted_by(&l->local, &local))
 			found = l;
 	}
 	pthread_mutex_unlock(&service.lock);
 	return found;
 }
 
-static void exchange(struct fg_listener *l, SVCXPRT *xprt)
+static void handle_exchange(struct fg_listener *l, SVCXPRT *xprt)
 {
 	fg_batch req;
-	fg_batch rep;
+	fg_batch reply;
 
 	memset(&req, 0, sizeof(req));
 	if (!svc_getargs(xprt, (xdrproc_t)xdr_fg_batch, (char *)&req)) {
@@ -106,18 +108,18 @@
 		return;
 	}
 	fg_peer_deliver(l->p, &req, FG_RPC_CALL_BYTES);
-	/* A cut drops the reply too, so that the sender sees a timeout. */
+	/* A cut drops the reply too, so that the sender's call times out. */
 	if (!fg_peer_is_cut(l->p, req.from)) {
-		memset(&rep, 0, sizeof(rep));
-		rep.format = FG_FORMAT;
-		rep.from = l->p->self;
-		rep.to = req.from;
-		svc_sendreply(xprt, (xdrproc_t)xdr_fg_batch, (char *)&rep);
+		memset(&reply, 0, sizeof(reply));
+		reply.format = FG_FORMAT;
+		reply.from = l->p->self;
+		reply.to = req.from;
+		svc_sendreply(xprt, (xdrproc_t)xdr_fg_batch, (char *)&reply);
 	}
 	svc_freeargs(xprt, (xdrproc_t)xdr_fg_batch, (char *)&req);
 }
 
-static bool_t xdr_nothing(XDR *xdrs, void *obj)
+static bool_t xdr_empty(XDR *xdrs, void *obj)
 {
 	(void)xdrs;
 	(void)obj;
@@ -126,14 +128,14 @@
 
 static void dispatch(struct svc_req *req, SVCXPRT *xprt)
 {
-	struct fg_listener *l = listener_of(xprt->xp_fd);
+	struct fg_listener *l = find_listener(xprt->xp_fd);
 
 	if (req->rq_proc == NULLPROC)
-		svc_sendreply(xprt, (xdrproc_t)xdr_nothing, NULL);
+		svc_sendreply(xprt, (xdrproc_t)xdr_empty, NULL);
 	else if (req->rq_proc != FG_EXCHANGE || l == NULL)
 		svcerr_noproc(xprt);
 	else
-		exchange(l, xprt);
+		handle_exchange(l, xprt);
 }
 
 /* ---- The service thread ---- */
@@ -148,18 +150,18 @@
 	svc_reg(l->xprt, FG_PEER_PROG, FG_PEER_V1, dispatch, NULL);
 }
 
-/* Ends the connections that came in by l, then l itself. */
+/* Closes the connections that l accepted, then l itself. */
 static void listener_close(struct fg_listener *l)
 {
 	for (int i = 0; i < svc_max_pollfd; i++) {
 		int fd = svc_pollfd[i].fd;
 		struct sockaddr_storage local;
 
-		if (fd < 0 || fd == l->fd || !local_address(fd, &local) ||
-		    !same_endpoint(&l->local, &local))
+		if (fd < 0 || fd == l->fd || !get_local_address(fd, &local) ||
+		    !is_accepted_by(&l->local, &local))
 			continue;
 		shutdown(fd, SHUT_RDWR);
-		svc_getreq_common(fd); /* reads the end and destroys it */
+		svc_getreq_common(fd); /* reads the EOF and destroys fd */
 	}
 	if (l->xprt != NULL)
 		svc_destroy(l->xprt);
@@ -167,11 +169,12 @@
 		close(l->fd);
 }
 
-/* Opens and closes listeners as asked. When none is left, it gives up the
- * service and returns false: the thread must then touch nothing shared. */
+/* Opens new listeners and closes those marked as closing. When none is left,
+ * releases the state of the service and returns false: the thread must end
+ * without access to shared data, since a new thread may have been started. */
 static bool service_update(void)
 {
-	bool any;
+	bool has_listeners;
 
 	pthread_mutex_lock(&service.lock);
 	for (guint i = 0; i < service.listeners->len;) {
@@ -187,18 +190,18 @@
 			listener_open(l);
 		i++;
 	}
-	any = service.listeners->len > 0;
-	if (!any) {
+	has_listeners = service.listeners->len > 0;
+	if (!has_listeners) {
 		close(service.wake_fd);
 		g_ptr_array_free(service.listeners, TRUE);
 		service.listeners = NULL;
 	}
 	pthread_cond_broadcast(&service.changed);
 	pthread_mutex_unlock(&service.lock);
-	return any;
+	return has_listeners;
 }
 
-static void drain_wake(void)
+static void clear_wake(void)
 {
 	uint64_t count;
 	ssize_t n = read(service.wake_fd, &count, sizeof(count));
@@ -235,10 +238,10 @@
 		n = poll((struct pollfd *)fds->data, fds->len, -1);
 		if (n < 0) {
 			if (errno != EINTR)
-				g_usleep(POLL_PAUSE_MS * 1000);
+				g_usleep(POLL_RETRY_MS * 1000);
 			continue;
 		}
-		drain_wake();
+		clear_wake();
 		serve_ready(fds, n);
 	}
 	g_array_free(fds, TRUE);
@@ -262,7 +265,7 @@
 	int probes = KEEPALIVE_PROBES;
 	unsigned int user_ms = USER_TIMEOUT_MS;
 
-	/* Accepted connections inherit all of these. */
+	/* Accepted connections inherit these options. */
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &one, sizeof(one));
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
@@ -284,14 +287,14 @@
 		    listen(fd, BACKLOG) == 0)
 			return fd;
 	}
-	g_set_error(error, FG_PEER_ERROR, FG_PEER_ERR_BIND, "cannot listen: %s",
-		    g_strerror(errno));
+	g_set_error(error, FG_PEER_ERROR, FG_PEER_ERR_BIND,
+		    "cannot listen for peers: %s", g_strerror(errno));
 	if (fd >= 0)
 		close(fd);
 	return -1;
 }
 
-/* Starts the thread for the first listener, with the service locked. */
+/* Starts the thread, with service.lock held. A failure ends the process. */
 static void service_start(void)
 {
 	pthread_t tid;
--- a/lib/peer/fg_proto.x
+++ b/lib/peer/fg_proto.x
@@ -1,19 +1,19 @@
 /*
- * fg_proto - the inner protocol between instances, over ONC RPC.
+ * fg_proto - protocol between instances, over ONC RPC; see docs/PROTOCOL.md.
  *
  * One procedure carries a batch of one-way messages and returns a batch for
- * the caller; see docs/PROTOCOL.md. Every message may be lost or repeated:
- * receivers are idempotent and senders repeat what has no reply yet.
+ * its caller. A message may be lost or delivered twice: receivers are
+ * idempotent, and senders repeat a request that has no reply yet.
  */
 
-const FG_FORMAT = 1;            /* format number of every inner message */
+const FG_FORMAT = 1;            /* format number of the protocol */
 const FG_NAME_MAX = 64;
 const FG_ADDR_MAX = 48;
 const FG_LIST_MAX = 256;
 const FG_TEXT_MAX = 65536;
 const FG_BATCH_MAX = 256;
 
-struct fg_av {                  /* an adapter and its version, 0 is none */
+struct fg_av {                  /* adapter and version; adapter 0: none */
 	unsigned int adapter;
 	unsigned int ver;
 };
@@ -38,37 +38,39 @@
 	FG_MSG_OWNED = 17
 };
 
-/* Liveness, and what a peer must know at once. A pong echoes seq, which is
- * the sender's clock. Ages of UINT_MAX mean never. */
+/* Heartbeat: liveness and the sender's state. A pong echoes the seq of the
+ * ping, which is the clock of the ping's sender. An age of UINT_MAX means
+ * never. */
 struct fg_ping {
 	unsigned hyper seq;
 	unsigned hyper revision;      /* configuration in force at the sender */
 	unsigned int confirm_age_ms;  /* since that revision was confirmed */
 	unsigned int platform_age_ms; /* since the sender reached the platform */
-	unsigned int peer_platform_age_ms;    /* since another told the sender that it did */
-	bool stopping;                /* sender is draining */
-	bool may_act;                 /* sender may act, pauses aside */
+	unsigned int peer_platform_age_ms; /* since a peer of the sender did */
+	bool stopping;                /* the sender is draining */
+	bool may_act;                 /* its standing lets it act; pauses of its
+				       * process are not considered */
 };
 
 enum fg_grant_status {
 	FG_GRANT_OK = 0,
-	FG_GRANT_NOT_OWNER = 1,       /* ask fg_grant_rep.owner instead */
+	FG_GRANT_NOT_OWNER = 1,       /* fg_grant_rep.owner is the owner */
 	FG_GRANT_NOT_RESIDENT = 2,
 	FG_GRANT_LEAVING = 3,
 	FG_GRANT_RECOVERING = 4,
 	FG_GRANT_NO_TIME = 5,
 	FG_GRANT_OVERLOAD = 6,
-	FG_GRANT_HELD = 7             /* queued; an OK or refusal follows */
+	FG_GRANT_HELD = 7             /* queued; an OK or a refusal follows */
 };
 
-/* Asks the owner for the use of one adapter on one endpoint. */
+/* Requests a grant to run one request with an adapter on an endpoint. */
 struct fg_grant_req {
-	unsigned hyper req;           /* unique id of request and attempt */
+	unsigned hyper req;           /* unique per request and attempt */
 	unsigned hyper ep;
 	fg_av av;
 	unsigned int cls;             /* enum fg_class */
 	unsigned int budget_ms;       /* time left before the deadline */
-	unsigned int hold_ms;         /* may wait so long for a batch to join */
+	unsigned int hold_ms;         /* longest wait for a batch to fill */
 	unsigned int hop;
 };
 
@@ -78,40 +80,40 @@
 	fg_grant_status status;
 	unsigned hyper grant;         /* id to release; 0 unless OK */
 	unsigned hyper fence;
-	unsigned hyper owner;         /* with NOT_OWNER, 0 if not known */
+	unsigned hyper owner;         /* with NOT_OWNER; 0: unknown */
 	unsigned int retry_after_ms;
 };
 
 struct fg_release {
 	unsigned hyper ep;
-	unsigned hyper grant;         /* 0 takes back an ask not yet answered */
+	unsigned hyper grant;         /* 0: withdraws an unanswered request */
 	unsigned hyper req;
-	unsigned int service_ms;      /* 0 when it never ran */
-	bool crashed;                 /* the endpoint may run it still, or died */
+	unsigned int service_ms;      /* 0 when it did not run */
+	bool crashed;                 /* the endpoint died or may still run it */
 };
 
-/* A router has requests for an adapter that is resident nowhere it knows. */
+/* A router has requests for an adapter that no endpoint known to it holds. */
 struct fg_need {
 	fg_av av;
-	unsigned int waiting;
-	unsigned int slack_ms;        /* smallest time to spare among them */
+	unsigned int waiting;         /* number of requests; 0: no need left */
+	unsigned int slack_ms;        /* smallest slack among them */
 	unsigned int cls;             /* most urgent class among them */
 };
 
-/* The broker tells an owner to load an adapter on an endpoint. */
+/* The broker asks the owner of an endpoint to load an adapter there. */
 struct fg_place {
 	unsigned hyper order;         /* broker's id, echoed in the reply */
 	unsigned hyper ep;
 	fg_av av;
-	fg_av victim;                 /* suggestion; 0 is the owner's choice */
+	fg_av victim;                 /* proposed eviction; 0: owner chooses */
 	unsigned hyper broker_fence;
 };
 
 enum fg_place_status {
 	FG_PLACE_STARTED = 0,
 	FG_PLACE_DONE = 1,
-	FG_PLACE_REFUSED = 2,         /* all slots pinned, leaving, not owner */
-	FG_PLACE_FAILED = 3           /* the load failed on the engine */
+	FG_PLACE_REFUSED = 2,         /* slots pinned, leaving or not the owner */
+	FG_PLACE_FAILED = 3           /* the engine failed to load it */
 };
 
 struct fg_place_rep {
@@ -121,14 +123,15 @@
 	fg_place_status status;
 };
 
-/* What an endpoint holds now; the whole list, so a lost one heals. */
+/* Adapters resident on an endpoint. Always the complete list, so that the next
+ * message makes up for a lost one. */
 struct fg_resident {
 	unsigned hyper ep;
 	unsigned hyper fence;
-	unsigned hyper seq;           /* grows per endpoint and fence */
+	unsigned hyper seq;           /* increases per endpoint and fence */
 	unsigned int slots;
 	unsigned int in_use;          /* grants in flight */
-	unsigned int batch;           /* grants the endpoint takes at most */
+	unsigned int batch;           /* most grants in flight */
 	bool leaving;
 	fg_av av<FG_LIST_MAX>;
 };
@@ -140,18 +143,20 @@
 	unsigned int left_ms;         /* until its hard deadline */
 };
 
+/* A new owner asks an instance for its grants on an endpoint. */
 struct fg_grants_ask {
 	unsigned hyper ep;
 	unsigned hyper fence;         /* of the new owner */
 };
 
+/* Reply: the sender's grants on the endpoint. */
 struct fg_grants_tell {
 	unsigned hyper ep;
 	unsigned hyper fence;
 	fg_grant_info grants<FG_LIST_MAX>;
 };
 
-/* Arrivals per adapter since the last report, for the broker. */
+/* Requests that arrived per adapter since the last report, for the broker. */
 struct fg_heat_item {
 	fg_av av;
 	unsigned int count;
@@ -163,13 +168,13 @@
 };
 
 struct fg_config_ask {
-	unsigned hyper from_revision; /* the sender holds this one */
+	unsigned hyper from_revision; /* revision of the sender */
 };
 
-/* Deltas in order, or a snapshot when the gap is too wide. */
+/* One delta of a sequence, or part of a snapshot when the gap is too large. */
 struct fg_config_tell {
-	unsigned hyper base;          /* revision it applies to; 0: snapshot */
-	unsigned hyper revision;      /* revision after applying */
+	unsigned hyper base;          /* revision before; 0: snapshot */
+	unsigned hyper revision;      /* revision after applying the text */
 	string text<FG_TEXT_MAX>;     /* JSON */
 	bool more;
 };
@@ -183,9 +188,10 @@
 };
 
 struct fg_leaving {
-	unsigned hyper id;            /* endpoint, or 0 for the sender */
+	unsigned hyper id;            /* endpoint; 0: the sender itself */
 };
 
+/* Names the current owner of an endpoint. */
 struct fg_owned {
 	unsigned hyper ep;
 	unsigned hyper fence;
@@ -237,7 +243,7 @@
 struct fg_batch {
 	unsigned int format;          /* FG_FORMAT */
 	unsigned hyper from;          /* instance id of the sender */
-	unsigned hyper to;            /* instance id meant; 0: any */
+	unsigned hyper to;            /* instance id of the receiver; 0: any */
 	fg_msg msgs<FG_BATCH_MAX>;
 };
 
