--- a/lib/mesh/fg_mesh.h
+++ b/lib/mesh/fg_mesh.h
@@ -1,8 +1,7 @@
 /*
- * fg_mesh - packets between the instances of a gateway, in XDR.
+ * fg_mesh - encodes and decodes datagrams between the instances of a gateway.
  *
- * The packets are described in fg_mesh.x; this wraps the generated codec with
- * bounds. A packet that cannot be read, or of another format, is refused.
+ * The packets are described in fg_mesh.x. Does no I/O.
  */
 #ifndef FG_MESH_H
 #define FG_MESH_H
@@ -12,17 +11,20 @@
 
 #include "mesh/fg_mesh_proto.h"
 
-/* Fits an unfragmented UDP datagram on every usual network. */
+/* Below the MTU of common networks, so that a datagram is not fragmented. */
 #define FG_MESH_PACKET_BYTES 1400
 
-/* False when the packet does not fit `size` bytes. */
+/* Encodes a packet into buf and sets *len_bytes. Returns false when it does not
+ * fit `size` bytes. */
 bool fg_mesh_encode(const fg_mesh_packet *packet, char *buf, size_t size,
 		    size_t *len_bytes);
 
-/* Reads one datagram; false when it is no whole packet of this format. On
- * true, fg_mesh_clear() releases it. */
+/* Decodes one datagram. Returns false when it is truncated, has trailing bytes,
+ * exceeds a limit of fg_mesh.x or is of another format. On true, the caller
+ * releases `out` with fg_mesh_clear(). */
 bool fg_mesh_decode(const char *buf, size_t len_bytes, fg_mesh_packet *out);
 
+/* Frees what a decoded packet owns and zeroes it. */
 void fg_mesh_clear(fg_mesh_packet *packet);
 
 #endif
--- a/lib/mesh/fg_mesh.x
+++ b/lib/mesh/fg_mesh.x
@@ -1,9 +1,9 @@
 /*
  * fg_mesh - datagrams between the instances of a gateway.
  *
- * One datagram is one fg_mesh_packet in XDR. Every datagram may be lost,
- * doubled or overtaken: heartbeats and uses carry state, not changes, and asks are
- * repeated until they are answered.
+ * One datagram holds one fg_mesh_packet in XDR. A datagram may be lost,
+ * duplicated or reordered: heartbeats and uses carry complete state instead of
+ * changes, and a request is repeated until it is answered.
  */
 
 const FG_MESH_FORMAT = 2;       /* first field of every packet */
@@ -12,50 +12,53 @@
 const FG_MESH_ADAPTERS_MAX = 32;
 
 enum fg_mesh_state {
-	FG_MESH_STARTING = 0,   /* not yet ready for callers */
+	FG_MESH_STARTING = 0,   /* does not accept callers yet */
 	FG_MESH_READY = 1,
 	FG_MESH_LEAVING = 2     /* planned stop */
 };
 
-struct fg_mesh_use {            /* what the sender has in flight there */
+struct fg_mesh_use {            /* in-flight requests of the sender */
 	unsigned hyper ep;
-	unsigned hyper adapter;         /* 0: requests without one */
+	unsigned hyper adapter;         /* 0: requests without an adapter */
 	unsigned int running;
-	unsigned int pending_tokens;    /* to be read before a first token */
+	unsigned int pending_tokens;    /* prompt tokens before a first token */
 };
 
 struct fg_mesh_adapter {
 	unsigned hyper adapter;
-	unsigned hyper ver;     /* 0: on its way */
+	unsigned hyper ver;     /* 0: being loaded */
 };
 
-struct fg_mesh_engine {            /* an engine that the sender orders */
+struct fg_mesh_engine {         /* an engine that takes orders from the sender */
 	unsigned hyper ep;
-	unsigned int running;           /* from all instances */
-	unsigned int pending_tokens;
-	unsigned int spare_age_ms;
-	unsigned int queue;             /* adapters waiting for a slot */
-	unsigned int fetch_wait_ms;     /* of a load from the weight store */
+	unsigned int running;           /* requests of all instances */
+	unsigned int pending_tokens;    /* of all instances */
+	unsigned int spare_age_ms;      /* idle time of the next adapter to evict;
+	                                 * UINT_MAX: a slot is free; 0: no slot
+	                                 * can be freed */
+	unsigned int queue;             /* queued load requests */
+	unsigned int fetch_wait_ms;     /* until a load from the weight store
+	                                 * can start */
 	fg_mesh_adapter adapters<FG_MESH_ADAPTERS_MAX>;
 };
 
-struct fg_mesh_crash {          /* an endpoint died under a request */
+struct fg_mesh_crash {          /* an endpoint crashed during a request */
 	unsigned hyper fingerprint;
 	unsigned hyper ep;
 	unsigned hyper req;
 };
 
 struct fg_mesh_feed {           /* a table of the platform's store */
-	unsigned hyper newest;  /* version of the newest row that matters */
+	unsigned hyper newest;  /* version of the newest relevant row */
 	unsigned hyper read;    /* all rows up to this version were read */
 };
 
 const FG_MESH_FEEDS = 3;        /* configuration, registry, own table */
-const FG_MESH_STORE_LOST = 4294967295;
+const FG_MESH_STORE_LOST = 4294967295; /* as age_ms: reads of the registry fail */
 
-struct fg_mesh_store {          /* what the sender knows of the store */
-	bool reads;             /* others may take rows from it */
-	unsigned int age_ms;    /* since the registry answered it */
+struct fg_mesh_store {          /* the sender's view of the store */
+	bool reads;             /* reads the store and relays rows to others */
+	unsigned int age_ms;    /* since the registry table was answered */
 	fg_mesh_feed feeds[FG_MESH_FEEDS];
 };
 
@@ -66,11 +69,11 @@
 	fg_mesh_crash crashes<FG_MESH_LIST_MAX>;
 };
 
-struct fg_mesh_load_req {            /* have the adapter loaded there */
+struct fg_mesh_load_req {       /* asks for an adapter to be loaded */
 	unsigned hyper ep;
 	string model<FG_MESH_NAME_MAX>;
 	string adapter<FG_MESH_NAME_MAX>;
-	unsigned hyper ver;     /* this one or a newer one; 0: any */
+	unsigned hyper ver;     /* minimum version; 0: any */
 };
 
 enum fg_mesh_answer {
@@ -87,21 +90,21 @@
 	fg_mesh_answer answer;
 };
 
-struct fg_mesh_uses {           /* to the instance that orders the engines */
+struct fg_mesh_uses {           /* sent to the instance that orders the engines */
 	fg_mesh_use list<FG_MESH_LIST_MAX>;
 };
 
-/* What is in flight at an engine, asked of the one that orders it. */
+/* Asks the instance that orders an engine for its total load. */
 struct fg_mesh_totals_ask {
-	unsigned int request;   /* of the asker, comes back */
+	unsigned int request;   /* chosen by the sender, echoed in the reply */
 	unsigned hyper ep;
 };
 
 struct fg_mesh_totals {
 	unsigned int request;
 	unsigned hyper ep;
-	unsigned int running;           /* from all instances */
-	unsigned int pending_tokens;
+	unsigned int running;           /* requests of all instances */
+	unsigned int pending_tokens;    /* of all instances */
 };
 
 enum fg_mesh_kind {
@@ -128,7 +131,7 @@
 	fg_mesh_totals totals;
 };
 
-/* Rows that one instance takes from another; not a datagram. */
+/* Rows that one instance reads from another, over HTTP instead of datagrams. */
 const FG_MESH_ROW_BYTES = 131072;
 const FG_MESH_ROWS_MAX = 4096;
 
@@ -140,13 +143,13 @@
 };
 
 struct fg_mesh_rows {
-	unsigned hyper read;    /* all rows up to this version are here */
+	unsigned hyper read;    /* the rows are complete up to this version */
 	fg_mesh_row rows<FG_MESH_ROWS_MAX>;
 };
 
 struct fg_mesh_packet {
 	unsigned int format;
 	unsigned hyper incarnation; /* of the sender */
-	unsigned int seq;           /* grows with each heartbeat */
+	unsigned int seq;           /* increases with each heartbeat */
 	fg_mesh_body body;
 };
--- a/lib/mesh/fg_peers.c
+++ b/lib/mesh/fg_peers.c
@@ -7,7 +7,7 @@
 
 struct fg_peers {
 	struct fg_peer_row self;
-	GPtrArray *all;
+	GPtrArray *peers; /* struct fg_mesh_peer *, owned */
 };
 
 struct fg_peers *fg_peers_new(const struct fg_peer_row *self)
@@ -15,7 +15,7 @@
 	struct fg_peers *p = g_new0(struct fg_peers, 1);
 
 	p->self = *self;
-	p->all = g_ptr_array_new_with_free_func(g_free);
+	p->peers = g_ptr_array_new_with_free_func(g_free);
 	return p;
 }
 
@@ -23,7 +23,7 @@
 {
 	if (p == NULL)
 		return;
-	g_ptr_array_unref(p->all);
+	g_ptr_array_unref(p->peers);
 	g_free(p);
 }
 
@@ -39,24 +39,24 @@
 bool fg_peer_row_parse(const char *name, const char *text,
 		       struct fg_peer_row *out)
 {
-	g_auto(GStrv) words = g_strsplit(text, " ", -1);
+	g_auto(GStrv) fields = g_strsplit(text, " ", -1);
 
 	memset(out, 0, sizeof(*out));
-	if (g_strv_length(words) != 5)
+	if (g_strv_length(fields) != 5)
 		return false;
-	out->incarnation = g_ascii_strtoull(words[0], NULL, 16);
+	out->incarnation = g_ascii_strtoull(fields[0], NULL, 16);
 	g_strlcpy(out->name, name, sizeof(out->name));
-	g_strlcpy(out->region, words[1], sizeof(out->region));
-	g_strlcpy(out->dc, words[2], sizeof(out->dc));
-	g_strlcpy(out->mesh, words[3], sizeof(out->mesh));
-	g_strlcpy(out->front, words[4], sizeof(out->front));
+	g_strlcpy(out->region, fields[1], sizeof(out->region));
+	g_strlcpy(out->dc, fields[2], sizeof(out->dc));
+	g_strlcpy(out->mesh, fields[3], sizeof(out->mesh));
+	g_strlcpy(out->front, fields[4], sizeof(out->front));
 	return out->incarnation != 0;
 }
 
-static struct fg_mesh_peer *find_name(struct fg_peers *p, const char *name)
+static struct fg_mesh_peer *find_by_name(struct fg_peers *p, const char *name)
 {
-	for (guint i = 0; i < p->all->len; i++) {
-		struct fg_mesh_peer *peer = p->all->pdata[i];
+	for (guint i = 0; i < p->peers->len; i++) {
+		struct fg_mesh_peer *peer = p->peers->pdata[i];
 
 		if (strcmp(peer->row.name, name) == 0)
 			return peer;
@@ -64,7 +64,7 @@
 	return NULL;
 }
 
-static void forget_incarnation(struct fg_mesh_peer *peer)
+static void reset_heartbeat_state(struct fg_mesh_peer *peer)
 {
 	peer->heartbeat_at = 0;
 	peer->seq = 0;
@@ -78,14 +78,14 @@
 
 	if (strcmp(row->name, p->self.name) == 0)
 		return;
-	peer = find_name(p, row->name);
+	peer = find_by_name(p, row->name);
 	if (peer == NULL) {
 		peer = g_new0(struct fg_mesh_peer, 1);
 		peer->hash = fg_hash_str(row->name);
-		g_ptr_array_add(p->all, peer);
+		g_ptr_array_add(p->peers, peer);
 	}
 	if (peer->row.incarnation != row->incarnation) {
-		forget_incarnation(peer);
+		reset_heartbeat_state(peer);
 		peer->row_seen_at = now;
 	}
 	peer->row = *row;
@@ -94,16 +94,16 @@
 
 void fg_peers_remove(struct fg_peers *p, const char *name)
 {
-	struct fg_mesh_peer *peer = find_name(p, name);
+	struct fg_mesh_peer *peer = find_by_name(p, name);
 
 	if (peer != NULL)
-		g_ptr_array_remove_fast(p->all, peer);
+		g_ptr_array_remove_fast(p->peers, peer);
 }
 
 struct fg_mesh_peer *fg_peers_find(struct fg_peers *p, uint64_t incarnation)
 {
-	for (guint i = 0; i < p->all->len; i++) {
-		struct fg_mesh_peer *peer = p->all->pdata[i];
+	for (guint i = 0; i < p->peers->len; i++) {
+		struct fg_mesh_peer *peer = p->peers->pdata[i];
 
 		if (peer->row.incarnation == incarnation)
 			return peer;
@@ -121,7 +121,7 @@
 		return NULL;
 	peer->heartbeat_at = now;
 	if ((int32_t)(seq - peer->seq) <= 0)
-		return peer; /* overtaken by a newer one */
+		return peer; /* a newer heartbeat arrived before */
 	peer->seq = seq;
 	peer->state = hb->state;
 	peer->store = hb->store;
@@ -131,38 +131,38 @@
 
 const GPtrArray *fg_peers_all(const struct fg_peers *p)
 {
-	return p->all;
+	return p->peers;
 }
 
 bool fg_peer_is_alive(const struct fg_mesh_peer *peer, fg_ms now)
 {
-	fg_ms silent_ms = peer->same_region ? FG_PEER_TIMEOUT_MS
-					    : FG_PEER_CROSS_REGION_TIMEOUT_MS;
+	fg_ms timeout_ms = peer->same_region ? FG_PEER_TIMEOUT_MS
+					     : FG_PEER_CROSS_REGION_TIMEOUT_MS;
 
-	return peer->heartbeat_at != 0 && now - peer->heartbeat_at < silent_ms;
+	return peer->heartbeat_at != 0 && now - peer->heartbeat_at < timeout_ms;
 }
 
-static bool reads_freshly(const struct fg_mesh_peer *peer, fg_ms now,
-			  uint32_t fresh_ms)
+static bool has_fresh_rows(const struct fg_mesh_peer *peer, fg_ms now,
+			   uint32_t fresh_ms)
 {
-	fg_ms since = now - peer->store_at;
+	fg_ms elapsed_ms = now - peer->store_at;
 
-	return peer->store.reads && since < FG_PEER_READER_TIMEOUT_MS &&
-	       (fg_ms)peer->store.age_ms + since <= (fg_ms)fresh_ms;
+	return peer->store.reads && elapsed_ms < FG_PEER_READER_TIMEOUT_MS &&
+	       (fg_ms)peer->store.age_ms + elapsed_ms <= (fg_ms)fresh_ms;
 }
 
 const struct fg_mesh_peer *fg_peers_find_reader(const struct fg_peers *p,
 						fg_ms now, uint32_t fresh_ms)
 {
 	const struct fg_mesh_peer *best = NULL;
-	uint64_t own = fg_hash_str(p->self.name);
+	uint64_t own_hash = fg_hash_str(p->self.name);
 
-	for (guint i = 0; i < p->all->len; i++) {
-		const struct fg_mesh_peer *peer = p->all->pdata[i];
+	for (guint i = 0; i < p->peers->len; i++) {
+		const struct fg_mesh_peer *peer = p->peers->pdata[i];
 
-		if (peer->hash >= own || !peer->same_region ||
+		if (peer->hash >= own_hash || !peer->same_region ||
 		    strcmp(peer->row.dc, p->self.dc) != 0 ||
-		    !reads_freshly(peer, now, fresh_ms))
+		    !has_fresh_rows(peer, now, fresh_ms))
 			continue;
 		if (best == NULL || peer->hash < best->hash)
 			best = peer;
@@ -172,19 +172,19 @@
 
 bool fg_peers_is_first_in_dc(const struct fg_peers *p, fg_ms now)
 {
-	uint64_t own = fg_hash_str(p->self.name);
+	uint64_t own_hash = fg_hash_str(p->self.name);
 
-	for (guint i = 0; i < p->all->len; i++) {
-		const struct fg_mesh_peer *peer = p->all->pdata[i];
+	for (guint i = 0; i < p->peers->len; i++) {
+		const struct fg_mesh_peer *peer = p->peers->pdata[i];
 
-		if (peer->hash < own && fg_peer_is_alive(peer, now) &&
+		if (peer->hash < own_hash && fg_peer_is_alive(peer, now) &&
 		    strcmp(peer->row.dc, p->self.dc) == 0)
 			return false;
 	}
 	return true;
 }
 
-static bool passes_on(const struct fg_mesh_peer *peer, fg_ms now)
+static bool forwards_heartbeats(const struct fg_mesh_peer *peer, fg_ms now)
 {
 	return peer->store.reads && fg_peer_is_alive(peer, now);
 }
@@ -192,12 +192,12 @@
 bool fg_peers_is_cross_region_target(const struct fg_peers *p, fg_ms now,
 				     const struct fg_mesh_peer *peer)
 {
-	if (passes_on(peer, now))
+	if (forwards_heartbeats(peer, now))
 		return true;
-	for (guint i = 0; i < p->all->len; i++) {
-		const struct fg_mesh_peer *other = p->all->pdata[i];
+	for (guint i = 0; i < p->peers->len; i++) {
+		const struct fg_mesh_peer *other = p->peers->pdata[i];
 
-		if (passes_on(other, now) &&
+		if (forwards_heartbeats(other, now) &&
 		    strcmp(other->row.dc, peer->row.dc) == 0)
 			return false;
 	}
@@ -213,7 +213,7 @@
 {
 	uint32_t n = 0;
 
-	for (guint i = 0; i < p->all->len; i++)
-		n += fg_peer_is_alive(p->all->pdata[i], now) ? 1 : 0;
+	for (guint i = 0; i < p->peers->len; i++)
+		n += fg_peer_is_alive(p->peers->pdata[i], now) ? 1 : 0;
 	return n;
 }
--- a/lib/mesh/fg_peers.h
+++ b/lib/mesh/fg_peers.h
@@ -1,13 +1,12 @@
 /*
- * fg_peers - the other instances: where they are and whether they live.
+ * fg_peers - the other instances of the gateway: addresses and liveness.
  *
- * Each instance writes one row when it starts; from these rows the others
- * learn its addresses. Whether it lives is learnt from its heartbeats: nobody
- * writes to the platform for that. An instance that was heard once and falls
- * silent is down; one that was never heard since its row appeared is unknown
- * and gets no callers.
+ * Each instance writes one row with its addresses to the store when it starts.
+ * Liveness is learnt from heartbeats, without writes to the platform. An
+ * instance whose heartbeats stop is down. An instance that has sent no
+ * heartbeat since its row appeared is unknown and gets no callers.
  *
- * Pure.
+ * Does no I/O and reads no clock; the caller passes the time.
  */
 #ifndef FG_PEERS_H
 #define FG_PEERS_H
@@ -21,30 +20,31 @@
 
 #define FG_PEER_TEXT_BYTES 96
 
-/* Heartbeats come at least each 250 ms inside a region and each second between
- * regions; these allow a few to be lost. */
+/* Time without a heartbeat after which an instance is down. Heartbeats are sent
+ * at least every 250 ms inside a region and every second between regions, so
+ * that a few may be lost. */
 #define FG_PEER_TIMEOUT_MS 1500
 #define FG_PEER_CROSS_REGION_TIMEOUT_MS 3500
-/* Rows are taken from a neighbour only while it is heard this lately: two
- * heartbeats may be lost. */
+/* Time without a heartbeat after which rows are no longer read from an
+ * instance: two heartbeats may be lost. */
 #define FG_PEER_READER_TIMEOUT_MS 700
 
 struct fg_peer_row {
 	char name[FG_PEER_TEXT_BYTES];
 	char region[FG_PEER_TEXT_BYTES];
 	char dc[FG_PEER_TEXT_BYTES];
-	char mesh[FG_PEER_TEXT_BYTES];	/* address of its datagrams */
+	char mesh[FG_PEER_TEXT_BYTES];	/* address for datagrams */
 	char front[FG_PEER_TEXT_BYTES]; /* address for callers */
-	uint64_t incarnation;
+	uint64_t incarnation;		/* new for each start; never 0 */
 };
 
 struct fg_mesh_peer {
 	struct fg_peer_row row;
-	uint64_t hash;	    /* of the name */
-	bool same_region;   /* same region */
-	fg_ms heartbeat_at; /* last heartbeat of this incarnation; 0: none */
-	fg_ms row_seen_at;  /* when the row appeared */
-	uint32_t seq;
+	uint64_t hash; /* of the name */
+	bool same_region;
+	fg_ms heartbeat_at; /* last one of this incarnation; 0: none */
+	fg_ms row_seen_at;  /* when this incarnation's row was first read */
+	uint32_t seq;	    /* of the newest heartbeat */
 	fg_mesh_state state;
 	fg_mesh_store store; /* as of store_at */
 	fg_ms store_at;
@@ -52,55 +52,70 @@
 
 struct fg_peers;
 
+/* Returns an empty set; `self`, the row of this instance, is copied. */
 struct fg_peers *fg_peers_new(const struct fg_peer_row *self);
+
+/* Frees the set and its peers; NULL is allowed. */
 void fg_peers_free(struct fg_peers *p);
 
-/* Row of this instance as text, and back. False when it cannot be read. */
+/* Returns the row as text for the store, which the caller g_free()s. */
 char *fg_peer_row_format(const struct fg_peer_row *row);
+
+/* Parses the text of a row. Returns false when it is malformed. */
 bool fg_peer_row_parse(const char *name, const char *text,
 		       struct fg_peer_row *out);
 
-/* A row was read, or removed. The own row is ignored. */
+/* Adds or updates the instance of a row that was read from the store. The row
+ * of this instance is ignored. A new incarnation starts without a heartbeat. */
 void fg_peers_put(struct fg_peers *p, fg_ms now, const struct fg_peer_row *row);
+
+/* Removes and frees an instance whose row was removed. */
 void fg_peers_remove(struct fg_peers *p, const char *name);
 
-/* A heartbeat came; NULL when its sender has no row here yet. */
+/* Records a heartbeat; the state of one older than the newest is ignored.
+ * Returns the sender, or NULL when no row of that incarnation is known. */
 struct fg_mesh_peer *fg_peers_on_heartbeat(struct fg_peers *p, fg_ms now,
 					   uint64_t incarnation, uint32_t seq,
 					   const fg_mesh_heartbeat *hb);
 
+/* Returns the instance with that incarnation, owned by the set, or NULL. */
 struct fg_mesh_peer *fg_peers_find(struct fg_peers *p, uint64_t incarnation);
 
-/* All others (struct fg_mesh_peer *). */
+/* Returns all other instances (struct fg_mesh_peer *), owned by the set. */
 const GPtrArray *fg_peers_all(const struct fg_peers *p);
 
-/* How many others live. */
+/* Returns the number of other instances that are alive. */
 uint32_t fg_peers_count_alive(const struct fg_peers *p, fg_ms now);
 
-/* Heard of lately; a leaving one lives until it falls silent. */
+/* True when the last heartbeat is recent. An instance that is leaving is alive
+ * until its heartbeats stop. */
 bool fg_peer_is_alive(const struct fg_mesh_peer *peer, fg_ms now);
 
 /*
- * The neighbour that reads the platform's store for this instance: of the same
- * data centre, reading itself, with an answer of the registry no older than
- * fresh_ms, and the first by hash. NULL when this instance comes before all of
- * them and reads for itself.
+ * Returns the instance from which this instance reads the rows of the store
+ * instead of from the store itself. A candidate is in the same region and data
+ * centre, reads the store itself, was answered by the registry at most fresh_ms
+ * ago, has sent a heartbeat within FG_PEER_READER_TIMEOUT_MS and has a lower
+ * hash than this instance. The lowest hash is chosen. Returns NULL when there
+ * is no candidate: this instance then reads the store.
  */
 const struct fg_mesh_peer *fg_peers_find_reader(const struct fg_peers *p,
 						fg_ms now, uint32_t fresh_ms);
 
-/* Is this instance the first by hash among the live ones of its data centre? */
+/* True when no live instance of the data centre has a lower hash. */
 bool fg_peers_is_first_in_dc(const struct fg_peers *p, fg_ms now);
 
 /*
- * Should a heartbeat for another region be sent to this peer? Traffic between
- * regions is paid by volume, so that in each data centre those that read the
- * store get it and pass it on; all, while none there is known to.
+ * True when heartbeats for another region are sent to this peer. Traffic
+ * between regions is paid by volume, therefore only the instances that read the
+ * store get them and forward them in their data centre. While no such instance
+ * is known in a data centre, all its instances get them.
  */
 bool fg_peers_is_cross_region_target(const struct fg_peers *p, fg_ms now,
 				     const struct fg_mesh_peer *peer);
 
-/* May callers be sent to it? */
+/* True when callers may be sent to the instance: it is alive and its state is
+ * FG_MESH_READY. */
 bool fg_peer_is_ready(const struct fg_mesh_peer *peer, fg_ms now);
 
 #endif
