--- a/lib/link/fg_channel.c
+++ b/lib/link/fg_channel.c
@@ -3,23 +3,24 @@
 #include "link/fg_link.h"
 
 #define HEAD_MAX_BYTES 16384
-/* 500 rows of 64 KiB in base64 do not occur: the store cuts at 1 MB. */
+/* The store limits an answer to 1 MB, so that 500 rows of 64 KiB in base64
+ * cannot occur. */
 #define BODY_MAX_BYTES (4 * 1024 * 1024)
 
 struct fg_channel {
 	uv_loop_t *loop;
 	const char *address;
-	struct fg_link *link; /* NULL: none open */
+	struct fg_link *link; /* NULL: not connected */
 	struct fg_h1 h1;
 	GString *body;
 	uv_timer_t *timer;
 	fg_channel_done_fn done; /* NULL: idle */
 	void *ctx;
-	struct fg_wire_request call;
-	bool open;
+	struct fg_wire_request request;
+	bool open; /* link is connected */
 };
 
-static void drop_link(struct fg_channel *c)
+static void close_link(struct fg_channel *c)
 {
 	if (c->link == NULL)
 		return;
@@ -29,7 +30,8 @@
 	fg_h1_reset(&c->h1);
 }
 
-static void finish(struct fg_channel *c, unsigned int status)
+/* Ends the request in flight, if any, and reports it to its sender. */
+static void end_request(struct fg_channel *c, unsigned int status)
 {
 	fg_channel_done_fn done = c->done;
 
@@ -37,16 +39,16 @@
 		return;
 	uv_timer_stop(c->timer);
 	c->done = NULL;
-	g_free(c->call.head_and_body);
-	c->call.head_and_body = NULL;
+	g_free(c->request.head_and_body);
+	c->request.head_and_body = NULL;
 	done(c->ctx, status, status == 0 ? NULL : c->body->str,
 	     status == 0 ? 0 : c->body->len);
 }
 
-static void fail(struct fg_channel *c)
+static void fail_request(struct fg_channel *c)
 {
-	drop_link(c);
-	finish(c, 0);
+	close_link(c);
+	end_request(c, 0);
 }
 
 static bool on_head(void *ctx, const struct fg_h1_head *head)
@@ -81,19 +83,20 @@
 	struct fg_channel *c = ctx;
 
 	c->open = true;
-	fg_link_write(c->link, c->call.head_and_body, c->call.len_bytes);
+	fg_link_write(c->link, c->request.head_and_body, c->request.len_bytes);
 }
 
-/* Takes a whole answer; bytes behind it belong to no call. */
-static void message_done(struct fg_channel *c, bool reusable)
+/* Handles a complete answer. The connection is not reusable when it has ended,
+ * or when bytes follow that belong to no request. */
+static void handle_answer(struct fg_channel *c, bool reusable)
 {
 	unsigned int status = c->h1.head.status;
 
 	if (!reusable || !c->h1.head.keep_alive)
-		drop_link(c);
+		close_link(c);
 	else
 		fg_h1_reset(&c->h1);
-	finish(c, status);
+	end_request(c, status);
 }
 
 static void on_data(void *ctx, const char *data, size_t len)
@@ -102,14 +105,14 @@
 	size_t used;
 
 	if (c->done == NULL) {
-		drop_link(c);
+		close_link(c);
 		return;
 	}
 	used = fg_h1_feed(&c->h1, data, len);
 	if (c->h1.fault != FG_H1_OK)
-		fail(c);
+		fail_request(c);
 	else if (c->h1.ended)
-		message_done(c, used == len);
+		handle_answer(c, used == len);
 }
 
 static void on_end(void *ctx, enum fg_link_end end)
@@ -117,10 +120,10 @@
 	struct fg_channel *c = ctx;
 
 	if (end == FG_LINK_EOF && c->done != NULL && fg_h1_eof(&c->h1)) {
-		message_done(c, false);
+		handle_answer(c, false);
 		return;
 	}
-	fail(c);
+	fail_request(c);
 }
 
 static const struct fg_link_ops link_ops = {
@@ -131,7 +134,7 @@
 
 static void on_timeout(uv_timer_t *timer)
 {
-	fail(timer->data);
+	fail_request(timer->data);
 }
 
 struct fg_channel *fg_channel_new(uv_loop_t *loop, const char *address)
@@ -157,17 +160,17 @@
 {
 	if (c == NULL)
 		return;
-	drop_link(c);
+	close_link(c);
 	uv_close((uv_handle_t *)c->timer, on_timer_closed);
 	fg_h1_clear(&c->h1);
 	g_string_free(c->body, TRUE);
-	g_free(c->call.head_and_body);
+	g_free(c->request.head_and_body);
 	g_free(c);
 }
 
 void fg_channel_abort(struct fg_channel *c)
 {
-	fail(c);
+	fail_request(c);
 }
 
 bool fg_channel_is_busy(const struct fg_channel *c)
@@ -176,24 +179,25 @@
 }
 
 /* Reports the failure from the loop, never from within fg_channel_send(). */
-static void fail_soon(struct fg_channel *c)
+static void schedule_failure(struct fg_channel *c)
 {
 	uv_timer_start(c->timer, on_timeout, 0, 0);
 }
 
-void fg_channel_send(struct fg_channel *c, struct fg_wire_request call,
+void fg_channel_send(struct fg_channel *c, struct fg_wire_request request,
 		     uint32_t timeout_ms, fg_channel_done_fn done, void *ctx)
 {
 	g_assert(c->done == NULL);
 	c->done = done;
 	c->ctx = ctx;
-	c->call = call;
+	c->request = request;
 	uv_timer_start(c->timer, on_timeout, timeout_ms, 0);
 	if (c->link != NULL) {
-		fg_link_write(c->link, call.head_and_body, call.len_bytes);
+		fg_link_write(c->link, request.head_and_body,
+			      request.len_bytes);
 		return;
 	}
 	c->link = fg_link_connect(c->loop, c->address, &link_ops, c);
 	if (c->link == NULL)
-		fail_soon(c);
+		schedule_failure(c);
 }
--- a/lib/link/fg_channel.h
+++ b/lib/link/fg_channel.h
@@ -1,10 +1,9 @@
 /*
- * fg_channel - HTTP calls of this instance, one at a time, from an event loop.
+ * fg_channel - HTTP client of an event loop, for one request at a time.
  *
- * One call at a time per channel. A call ends with exactly one callback: with
- * the status and body of the answer, or with status 0 when no whole answer
- * came in time; it may then have been carried out, now or later. A connection
- * that failed or went silent is not used again.
+ * The connection to the address is opened when it is needed and reused while it
+ * is healthy; it is closed after a failure or a timeout. All functions and
+ * callbacks run on the thread of the loop.
  */
 #ifndef FG_CHANNEL_H
 #define FG_CHANNEL_H
@@ -15,23 +14,32 @@
 
 struct fg_channel;
 
-/* `body` is NUL-terminated behind len_bytes; NULL when status is 0. */
+/*
+ * Called once for each request, with the status and body of the complete
+ * answer. The body is followed by a NUL byte and valid during the call. Status
+ * 0 with a NULL body: no complete answer arrived in time; the server may have
+ * executed the request, or may still do so.
+ */
 typedef void (*fg_channel_done_fn)(void *ctx, unsigned int status,
 				   const char *body, size_t len_bytes);
 
-/* `address` must stay valid. */
+/* Creates an idle channel to `address` ("IP:PORT"), which is borrowed and must
+ * outlive the channel. */
 struct fg_channel *fg_channel_new(uv_loop_t *loop, const char *address);
 
-/* Gives up a call in flight without a callback. */
+/* Drops a request in flight without a callback, closes the connection and frees
+ * the channel; NULL is allowed. */
 void fg_channel_free(struct fg_channel *c);
 
-/* Ends a call in flight as if its connection had failed. */
+/* Closes the connection. A request in flight ends with status 0. */
 void fg_channel_abort(struct fg_channel *c);
 
+/* True while a request is in flight. */
 bool fg_channel_is_busy(const struct fg_channel *c);
 
-/* Sends a call (its memory is taken over). The channel must be idle. */
-void fg_channel_send(struct fg_channel *c, struct fg_wire_request call,
+/* Sends a request and takes ownership of its memory. The channel must not be
+ * busy. `done` is not called before the function returns. */
+void fg_channel_send(struct fg_channel *c, struct fg_wire_request request,
 		     uint32_t timeout_ms, fg_channel_done_fn done, void *ctx);
 
 #endif
--- a/lib/link/fg_link.c
+++ b/lib/link/fg_link.c
@@ -6,38 +6,38 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* Dead peers are found within about three seconds, below the four seconds
- * after which the platform counts an instance as reachable again. */
+/* A dead peer is detected within about 3 s. That is less than the 4 s after
+ * which the platform counts an instance as reachable again. */
 #define KEEPALIVE_IDLE_S 1
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES 2
 #define USER_TIMEOUT_MS 3000
 #define BACKLOG 512
 #define READ_BYTES 16384
-/* A closing link is given this long to send what is queued. */
+/* Time that fg_link_close() leaves for sending queued bytes. */
 #define FLUSH_MAX_MS 5000
 
 struct fg_link {
 	uv_tcp_t tcp;
 	uv_connect_t connect;
 	uv_shutdown_t shutdown;
-	uv_timer_t timer; /* bounds a flushing close */
+	uv_timer_t timer; /* limits a close with flush */
 	const struct fg_link_ops *ops;
 	void *ctx; /* NULL after fg_link_close() */
 	size_t pending_bytes;
-	int handles; /* tcp and timer, while open */
-	bool closed; /* the user let go of it */
-	bool closing;
+	int open_handles; /* tcp and timer; at 0 the link is freed */
+	bool closed;	  /* by the user: no further callbacks */
+	bool closing;	  /* the handles are being closed */
 	bool connected;
 };
 
-struct write {
+struct write_req {
 	uv_write_t req;
 	size_t len_bytes;
 	char data[];
 };
 
-/* One buffer serves all links of the thread: libuv reads one at a time. */
+/* Shared by all links, since libuv reads one link at a time. */
 static char read_buffer[READ_BYTES];
 
 bool fg_link_parse_address(const char *address, struct sockaddr_in *out)
@@ -61,7 +61,7 @@
 {
 	struct fg_link *l = handle->data;
 
-	if (--l->handles == 0)
+	if (--l->open_handles == 0)
 		g_free(l);
 }
 
@@ -85,7 +85,7 @@
 
 	if (uv_fileno((uv_handle_t *)&l->tcp, &fd) != 0)
 		return;
-	/* A failure leaves the defaults, under which the link still works. */
+	/* The link also works with the defaults, so errors are ignored. */
 	(void)setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 	(void)setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
 	(void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof(idle));
@@ -96,7 +96,7 @@
 			 sizeof(timeout));
 }
 
-static void tell_end(struct fg_link *l, enum fg_link_end end)
+static void notify_end(struct fg_link *l, enum fg_link_end end)
 {
 	if (!l->closed)
 		l->ops->on_end(l->ctx, end);
@@ -111,8 +111,8 @@
 }
 
 /*
- * libuv reports the end of a stream also when a reset arrived right behind
- * data, without reading again. The socket knows.
+ * libuv also reports UV_EOF when a reset arrived directly after data, without
+ * another read. Reading from the socket shows which of the two it was.
  */
 static bool was_reset(const struct fg_link *l)
 {
@@ -134,8 +134,8 @@
 		l->ops->on_data(l->ctx, buf->base, (size_t)n);
 	} else if (n < 0) {
 		uv_read_stop(stream);
-		tell_end(l, n == UV_EOF && !was_reset(l) ? FG_LINK_EOF
-							 : FG_LINK_RESET);
+		notify_end(l, n == UV_EOF && !was_reset(l) ? FG_LINK_EOF
+							   : FG_LINK_RESET);
 	}
 }
 
@@ -150,7 +150,7 @@
 	uv_timer_init(loop, &l->timer);
 	l->tcp.data = l;
 	l->timer.data = l;
-	l->handles = 2;
+	l->open_handles = 2;
 	return l;
 }
 
@@ -161,7 +161,7 @@
 	if (l->closed)
 		return;
 	if (status != 0) {
-		tell_end(l, FG_LINK_REFUSED);
+		notify_end(l, FG_LINK_REFUSED);
 		return;
 	}
 	l->connected = true;
@@ -173,14 +173,14 @@
 struct fg_link *fg_link_connect(uv_loop_t *loop, const char *address,
 				const struct fg_link_ops *ops, void *ctx)
 {
-	struct sockaddr_in to;
+	struct sockaddr_in remote;
 	struct fg_link *l;
 
-	if (!fg_link_parse_address(address, &to))
+	if (!fg_link_parse_address(address, &remote))
 		return NULL;
 	l = link_new(loop, ops, ctx);
 	l->connect.data = l;
-	if (uv_tcp_connect(&l->connect, &l->tcp, (struct sockaddr *)&to,
+	if (uv_tcp_connect(&l->connect, &l->tcp, (struct sockaddr *)&remote,
 			   on_connect) != 0) {
 		l->closed = true;
 		close_handles(l);
@@ -212,7 +212,7 @@
 
 static void on_written(uv_write_t *req, int status)
 {
-	struct write *w = (struct write *)req;
+	struct write_req *w = (struct write_req *)req;
 	struct fg_link *l = req->data;
 
 	l->pending_bytes -= w->len_bytes;
@@ -220,18 +220,18 @@
 	if (l->closed)
 		return;
 	if (status != 0 && status != UV_ECANCELED) {
-		tell_end(l, FG_LINK_RESET);
+		notify_end(l, FG_LINK_RESET);
 		return;
 	}
 	if (l->pending_bytes == 0 && l->ops->on_drained != NULL)
 		l->ops->on_drained(l->ctx);
 }
 
-/* Sends at once what the kernel takes; only the rest is copied. */
+/* Copies only the bytes that the kernel does not accept at once. */
 void fg_link_write(struct fg_link *l, const char *data, size_t len_bytes)
 {
 	uv_buf_t buf = uv_buf_init((char *)data, (unsigned int)len_bytes);
-	struct write *w;
+	struct write_req *w;
 	int sent = 0;
 
 	if (l->closed || l->closing || len_bytes == 0)
@@ -239,7 +239,7 @@
 	if (l->pending_bytes == 0 && l->connected)
 		sent = uv_try_write((uv_stream_t *)&l->tcp, &buf, 1);
 	if (sent < 0)
-		sent = 0; /* uv_write() meets and reports the same error */
+		sent = 0; /* uv_write() below reports the same error */
 	if ((size_t)sent == len_bytes)
 		return;
 	len_bytes -= (size_t)sent;
@@ -316,13 +316,13 @@
 int fg_link_listen(uv_loop_t *loop, uv_tcp_t *listener, const char *address,
 		   uv_connection_cb on_connection)
 {
-	struct sockaddr_in at;
+	struct sockaddr_in local;
 	int rc;
 
-	if (!fg_link_parse_address(address, &at))
+	if (!fg_link_parse_address(address, &local))
 		return UV_EINVAL;
 	uv_tcp_init(loop, listener);
-	rc = uv_tcp_bind(listener, (struct sockaddr *)&at, 0);
+	rc = uv_tcp_bind(listener, (struct sockaddr *)&local, 0);
 	if (rc == 0)
 		rc = uv_listen((uv_stream_t *)listener, BACKLOG, on_connection);
 	return rc;
--- a/lib/link/fg_link.h
+++ b/lib/link/fg_link.h
@@ -1,14 +1,16 @@
 /*
  * fg_link - TCP connections of an event loop (libuv).
  *
- * A link is a connected or connecting stream. Writes are queued and never
- * block; fg_link_pending_bytes() tells how much the peer has not taken yet.
- * Links find dead peers by keep-alive probes and a limit on unacknowledged
- * data, so that a peer that falls silent ends the link in a few seconds.
+ * A link is a connected or connecting stream. Writes never block; what the
+ * kernel does not accept at once is queued, and fg_link_pending_bytes() returns
+ * how much that is. Keep-alive probes and a time limit for unacknowledged data
+ * end a link in a few seconds when its peer no longer answers.
  *
- * All links of a process belong to one loop: they share a buffer for reading.
- * Callbacks run on the loop's thread. After fg_link_close() no callback comes;
- * the memory is released once the loop has closed the socket.
+ * All links of a process must belong to one loop, since they share a buffer for
+ * reading. Callbacks run on the thread of the loop. The user releases each link
+ * by fg_link_close() or fg_link_abort(), also after on_end, and must not use it
+ * any more. No callback follows; the memory is freed once the loop has closed
+ * the socket.
  */
 #ifndef FG_LINK_H
 #define FG_LINK_H
@@ -22,50 +24,58 @@
 struct fg_link;
 
 enum fg_link_end {
-	FG_LINK_EOF = 1,     /* the peer closed its side in order */
-	FG_LINK_RESET = 2,   /* reset, timed out, or another error */
-	FG_LINK_REFUSED = 3, /* the connection was never established */
+	FG_LINK_EOF = 1,     /* the peer closed its side in an orderly way */
+	FG_LINK_RESET = 2,   /* reset, timeout or another error */
+	FG_LINK_REFUSED = 3, /* the connection was not established */
 };
 
 struct fg_link_ops {
-	void (*on_open)(void *ctx); /* of fg_link_connect() */
+	/* Connected. Not called for links of fg_link_accept(). */
+	void (*on_open)(void *ctx);
+	/* `data` is valid during the call. */
 	void (*on_data)(void *ctx, const char *data, size_t len_bytes);
+	/* The peer ended the stream, or the link failed. The callee closes the
+	 * link. */
 	void (*on_end)(void *ctx, enum fg_link_end end);
-	void (*on_drained)(void *ctx); /* all writes were taken; may be NULL */
+	/* The kernel has accepted all queued bytes. May be NULL. */
+	void (*on_drained)(void *ctx);
 };
 
-/* Connects to "IP:PORT"; NULL when the address cannot be read or no
- * descriptor is left. */
+/* Starts to connect to "IP:PORT". `ops` is borrowed for the life of the link.
+ * Returns NULL when the address is invalid or no descriptor is left. */
 struct fg_link *fg_link_connect(uv_loop_t *loop, const char *address,
 				const struct fg_link_ops *ops, void *ctx);
 
-/* Takes a connection from a listening socket; NULL on failure. */
+/* Accepts a connection from a listening socket; NULL on failure. */
 struct fg_link *fg_link_accept(uv_stream_t *listener,
 			       const struct fg_link_ops *ops, void *ctx);
 
+/* Replaces the argument of the callbacks. */
 void fg_link_set_ctx(struct fg_link *l, void *ctx);
 
-/* Queues a copy of the bytes. */
+/* Sends the bytes; those that the kernel does not accept are copied and queued.
+ * Does not block. */
 void fg_link_write(struct fg_link *l, const char *data, size_t len_bytes);
 
-/* Bytes queued and not yet taken by the kernel. */
+/* Returns the number of queued bytes that the kernel has not accepted. */
 size_t fg_link_pending_bytes(const struct fg_link *l);
 
-/* Stops and resumes reading. */
+/* Stop and resume reading. */
 void fg_link_pause(struct fg_link *l);
 void fg_link_resume(struct fg_link *l);
 
-/* Closes; with `flush` queued bytes are sent first. */
+/* Closes the link. With `flush`, queued bytes are sent first, within 5 s. */
 void fg_link_close(struct fg_link *l, bool flush);
 
-/* Closes so that the peer sees a reset, never the end of a message. */
+/* Closes the link by a reset, so that the peer cannot take the end of the
+ * stream for the end of a message. */
 void fg_link_abort(struct fg_link *l);
 
-/* Opens a listening socket on "IP:PORT"; a negative libuv error otherwise. */
+/* Listens on "IP:PORT". Returns 0 or a negative libuv error. */
 int fg_link_listen(uv_loop_t *loop, uv_tcp_t *listener, const char *address,
 		   uv_connection_cb on_connection);
 
-/* Splits "IP:PORT" of IPv4; false when malformed. */
+/* Parses an IPv4 address "IP:PORT"; false when it is malformed. */
 bool fg_link_parse_address(const char *address, struct sockaddr_in *out);
 
 #endif
