--- a/lib/h1/fg_h1.c
+++ b/lib/h1/fg_h1.c
@@ -43,8 +43,8 @@
 	"Proxy-Authorization",
 };
 
-/* Is `name` an element of the comma-separated list? */
-static bool list_has(const char *list, const char *name)
+/* True when a comma-separated list contains `name`, in any case. */
+static bool list_contains(const char *list, const char *name)
 {
 	size_t len = strlen(name);
 
@@ -69,58 +69,58 @@
 	for (uint32_t k = 0; k < head->n_fields; k++) {
 		if (g_ascii_strcasecmp(fg_h1_field_name(head, k),
 				       "Connection") == 0 &&
-		    list_has(fg_h1_field_value(head, k), name))
+		    list_contains(fg_h1_field_value(head, k), name))
 			return true;
 	}
 	return false;
 }
 
-/* ---- http-parser's callbacks ---- */
+/* ---- Callbacks of http-parser ---- */
 
-static struct fg_h1 *self(http_parser *p)
+static struct fg_h1 *get_h1(http_parser *p)
 {
 	return p->data;
 }
 
-static int stop(struct fg_h1 *h, enum fg_h1_fault fault)
+static int fail_parse(struct fg_h1 *h, enum fg_h1_fault fault)
 {
 	h->fault = fault;
 	return -1;
 }
 
-static int put(struct fg_h1 *h, const char *data, size_t len)
+static int append_text(struct fg_h1 *h, const char *data, size_t len)
 {
 	if (h->head.text->len + len > h->head_max_bytes)
-		return stop(h, FG_H1_HEAD_TOO_LARGE);
+		return fail_parse(h, FG_H1_HEAD_TOO_LARGE);
 	g_string_append_len(h->head.text, data, (gssize)len);
 	return 0;
 }
 
 static int on_url(http_parser *p, const char *data, size_t len)
 {
-	return put(self(p), data, len);
+	return append_text(get_h1(p), data, len);
 }
 
 static int on_field(http_parser *p, const char *data, size_t len)
 {
-	struct fg_h1 *h = self(p);
+	struct fg_h1 *h = get_h1(p);
 	struct fg_h1_head *head = &h->head;
 
 	if (h->in_value || head->n_fields == 0) {
 		if (head->n_fields == FG_H1_FIELDS_MAX)
-			return stop(h, FG_H1_HEAD_TOO_LARGE);
+			return fail_parse(h, FG_H1_HEAD_TOO_LARGE);
 		g_string_append_c(head->text, '\0');
 		head->name_at[head->n_fields] = (uint32_t)head->text->len;
 		head->value_at[head->n_fields] = (uint32_t)head->text->len;
 		head->n_fields++;
 		h->in_value = false;
 	}
-	return put(h, data, len);
+	return append_text(h, data, len);
 }
 
 static int on_value(http_parser *p, const char *data, size_t len)
 {
-	struct fg_h1 *h = self(p);
+	struct fg_h1 *h = get_h1(p);
 	struct fg_h1_head *head = &h->head;
 
 	if (!h->in_value) {
@@ -128,21 +128,22 @@
 		head->value_at[head->n_fields - 1] = (uint32_t)head->text->len;
 		h->in_value = true;
 	}
-	return put(h, data, len);
+	return append_text(h, data, len);
 }
 
-/* http-parser's codes for "the answer has no body" and "stop". */
+/* Results of on_headers(), as http-parser defines them. */
 enum {
-	GO_ON = 0,
+	HAS_BODY = 0,
 	NO_BODY = 1
 };
 
 static int on_headers(http_parser *p)
 {
-	struct fg_h1 *h = self(p);
+	struct fg_h1 *h = get_h1(p);
 	struct fg_h1_head *head = &h->head;
 
-	/* A name without a value keeps value_at on its own name. */
+	/* Without a call of on_value(), value_at of the last field still points
+	 * at its name; the value is empty. */
 	if (head->n_fields > 0 && !h->in_value) {
 		g_string_append_c(head->text, '\0');
 		head->value_at[head->n_fields - 1] = (uint32_t)head->text->len;
@@ -157,33 +158,33 @@
 	head->keep_alive = http_should_keep_alive(p) != 0;
 	if (head->length_bytes > 0 &&
 	    (uint64_t)head->length_bytes > h->body_max_bytes)
-		return stop(h, FG_H1_BODY_TOO_LARGE);
+		return fail_parse(h, FG_H1_BODY_TOO_LARGE);
 	if (!h->ops->on_head(h->ctx, head))
 		return NO_BODY;
-	return GO_ON;
+	return HAS_BODY;
 }
 
 static int on_body(http_parser *p, const char *data, size_t len)
 {
-	struct fg_h1 *h = self(p);
+	struct fg_h1 *h = get_h1(p);
 
 	h->body_bytes += len;
 	if (h->body_bytes > h->body_max_bytes)
-		return stop(h, FG_H1_BODY_TOO_LARGE);
+		return fail_parse(h, FG_H1_BODY_TOO_LARGE);
 	h->ops->on_body(h->ctx, data, len);
 	return 0;
 }
 
 static int on_complete(http_parser *p)
 {
-	struct fg_h1 *h = self(p);
+	struct fg_h1 *h = get_h1(p);
 
 	h->ended = true;
 	http_parser_pause(p, 1);
 	return 0;
 }
 
-static const http_parser_settings callbacks = {
+static const http_parser_settings parser_settings = {
 	.on_url = on_url,
 	.on_header_field = on_field,
 	.on_header_value = on_value,
@@ -230,15 +231,16 @@
 
 size_t fg_h1_feed(struct fg_h1 *h, const char *data, size_t len_bytes)
 {
-	size_t used;
+	size_t n_consumed;
 
 	if (h->ended || h->fault != FG_H1_OK || len_bytes == 0)
 		return 0;
 	h->started = true;
-	used = http_parser_execute(&h->parser, &callbacks, data, len_bytes);
+	n_consumed = http_parser_execute(&h->parser, &parser_settings, data,
+					 len_bytes);
 	if (h->ended) {
 		h->ops->on_end(h->ctx);
-		return used;
+		return n_consumed;
 	}
 	if (HTTP_PARSER_ERRNO(&h->parser) != HPE_OK && h->fault == FG_H1_OK) {
 		h->fault = HTTP_PARSER_ERRNO(&h->parser) == HPE_HEADER_OVERFLOW
@@ -247,14 +249,14 @@
 	}
 	if (h->parser.upgrade && h->fault == FG_H1_OK)
 		h->fault = FG_H1_MALFORMED;
-	return used;
+	return n_consumed;
 }
 
 bool fg_h1_eof(struct fg_h1 *h)
 {
 	if (h->ended || h->fault != FG_H1_OK || !h->started)
 		return false;
-	http_parser_execute(&h->parser, &callbacks, NULL, 0);
+	http_parser_execute(&h->parser, &parser_settings, NULL, 0);
 	if (!h->ended)
 		return false;
 	h->ops->on_end(h->ctx);
--- a/lib/h1/fg_h1.h
+++ b/lib/h1/fg_h1.h
@@ -1,13 +1,13 @@
 /*
- * fg_h1 - incremental HTTP/1.1 messages, on top of http-parser.
+ * fg_h1 - incremental parser for HTTP/1.1 messages, based on http-parser.
  *
- * One parser reads the messages of one connection, one after the other. It
- * keeps the head of the current message and hands its body on in pieces. After
- * a whole message it stops, so that bytes of the next one stay with the caller
- * until fg_h1_reset().
+ * One parser reads the messages of one connection one after the other. It
+ * collects the head of the current message and passes on the body in pieces.
+ * After a complete message it consumes no further bytes until fg_h1_reset(), so
+ * that bytes of the next message stay with the caller.
  *
- * Heads are kept byte for byte: names in the case in which they arrived, in
- * their order, repeated fields as separate entries.
+ * Heads are kept unchanged: field names keep their case and order, and repeated
+ * fields stay separate. Does no I/O.
  */
 #ifndef FG_H1_H
 #define FG_H1_H
@@ -21,27 +21,29 @@
 #define FG_H1_FIELDS_MAX 64
 
 struct fg_h1_head {
-	GString *text; /* holds target and fields, each ended by a NUL */
-	uint32_t target_at;
+	GString *text;	    /* target, names and values, each with a NUL */
+	uint32_t target_at; /* offset in text, as are name_at and value_at */
 	uint32_t name_at[FG_H1_FIELDS_MAX];
 	uint32_t value_at[FG_H1_FIELDS_MAX];
 	uint32_t n_fields;
-	unsigned int method; /* enum http_method; of requests */
-	unsigned int status; /* of answers */
-	bool keep_alive;
+	unsigned int method; /* enum http_method; requests only */
+	unsigned int status; /* answers only */
+	bool keep_alive;     /* the connection may be reused */
 	bool chunked;
-	int64_t length_bytes; /* of the body; -1 when not announced */
+	int64_t length_bytes; /* Content-Length; -1 when absent */
 };
 
-/* Value of the first field of that name in any case; NULL when absent. */
+/* Strings returned belong to the head and are valid until fg_h1_reset(). */
+
+/* Returns the value of the first field with that name, in any case, or NULL. */
 const char *fg_h1_get_field(const struct fg_h1_head *head, const char *name);
 
 const char *fg_h1_target(const struct fg_h1_head *head);
 const char *fg_h1_field_name(const struct fg_h1_head *head, uint32_t i);
 const char *fg_h1_field_value(const struct fg_h1_head *head, uint32_t i);
 
-/* True for fields that concern one connection alone and are not forwarded,
- * those that `Connection` of this head names included. */
+/* True for hop-by-hop fields, which are not forwarded: those of HTTP itself,
+ * and those that a `Connection` field of this head lists. */
 bool fg_h1_is_hop_by_hop(const struct fg_h1_head *head, uint32_t i);
 
 enum fg_h1_fault {
@@ -53,11 +55,14 @@
 
 struct fg_h1;
 
-/* Called while fg_h1_feed() runs. on_head may return false to say that an
- * answer has no body (to a HEAD request). */
+/* Callbacks of fg_h1_feed() and fg_h1_eof(). */
 struct fg_h1_ops {
+	/* The head is complete. Returns false when the message has no body, as
+	 * an answer to a HEAD request. */
 	bool (*on_head)(void *ctx, const struct fg_h1_head *head);
+	/* A piece of the body, without chunk framing. */
 	void (*on_body)(void *ctx, const char *data, size_t len_bytes);
+	/* The message is complete. */
 	void (*on_end)(void *ctx);
 };
 
@@ -71,25 +76,29 @@
 	uint64_t body_bytes;
 	uint32_t head_bytes;
 	enum fg_h1_fault fault;
-	bool in_value;
-	bool ended;   /* the message is whole; fg_h1_reset() goes on */
-	bool started; /* a byte of the current message was seen */
+	bool in_value; /* the last header bytes were of a field's value */
+	bool ended;    /* the message is complete */
+	bool started;  /* a byte of the current message was read */
 };
 
-/* `requests` reads requests, otherwise answers. */
+/* Initializes a parser of requests, or of answers. `ops` is borrowed. A head or
+ * body over its limit is a fault. */
 void fg_h1_init(struct fg_h1 *h, bool requests, const struct fg_h1_ops *ops,
 		void *ctx, uint32_t head_max_bytes, uint64_t body_max_bytes);
+
+/* Frees the memory of the parser. */
 void fg_h1_clear(struct fg_h1 *h);
 
-/* Reads; returns how many bytes were used, fewer than len_bytes after a whole
- * message or a fault (h->fault). */
+/* Parses bytes of the connection. Returns the number of bytes consumed, which
+ * may be less than len_bytes when the message is complete (h->ended) or invalid
+ * (h->fault). */
 size_t fg_h1_feed(struct fg_h1 *h, const char *data, size_t len_bytes);
 
-/* The connection ended. True if that completes the message: an answer without
- * a length whose head was read. */
+/* Handles the end of the connection. Returns true when it completes the
+ * message, which is so for an answer without a length. */
 bool fg_h1_eof(struct fg_h1 *h);
 
-/* Makes the parser ready for the next message of the connection. */
+/* Prepares the parser for the next message of the connection. */
 void fg_h1_reset(struct fg_h1 *h);
 
 #endif
