--- a/lib/http/fg_http.c
+++ b/lib/http/fg_http.c
@@ -22,8 +22,9 @@
 	pthread_key_create(&handle_key, free_handle);
 }
 
-/* One handle per thread, so that its connections are used again. */
-static CURL *thread_handle(void)
+/* Returns the handle of the calling thread, which keeps its connections for
+ * later requests. */
+static CURL *get_thread_handle(void)
 {
 	CURL *handle = pthread_getspecific(handle_key);
 
@@ -77,7 +78,8 @@
 {
 	struct curl_slist *list = NULL;
 
-	/* Without this, libcurl waits a second before it sends a large body. */
+	/* Disables "Expect: 100-continue", with which libcurl waits up to 1 s
+	 * before it sends a large body. */
 	list = curl_slist_append(list, "Expect:");
 	list = curl_slist_append(list, "Content-Type: application/json");
 	if (call->header != NULL)
@@ -118,8 +120,8 @@
 	curl_easy_setopt(h, CURLOPT_CUSTOMREQUEST, call->method);
 }
 
-static enum fg_http_error classify(CURL *h, CURLcode code,
-				   const struct transfer *t)
+static enum fg_http_error classify_error(CURL *h, CURLcode code,
+					 const struct transfer *t)
 {
 	long sent_bytes = 0;
 
@@ -141,7 +143,7 @@
 		     struct fg_http_answer *answer)
 {
 	struct transfer t = { .call = call };
-	CURL *h = thread_handle();
+	CURL *h = get_thread_handle();
 	struct curl_slist *headers;
 	CURLcode code;
 	long status = 0;
@@ -154,7 +156,7 @@
 	set_options(h, &t);
 	headers = set_headers(h, call);
 	code = curl_easy_perform(h);
-	answer->error = classify(h, code, &t);
+	answer->error = classify_error(h, code, &t);
 	curl_easy_getinfo(h, CURLINFO_RESPONSE_CODE, &status);
 	answer->status = (uint32_t)status;
 	answer->len_bytes = t.received_bytes;
--- a/lib/http/fg_http.h
+++ b/lib/http/fg_http.h
@@ -1,8 +1,8 @@
 /*
- * fg_http - blocking HTTP calls to addresses given by IP number.
+ * fg_http - blocking HTTP requests to an IP address, based on libcurl.
  *
- * A thin layer over libcurl. Each call tells whether any byte of the request
- * may have left this process, which decides between "not run" and "unknown".
+ * The result of a failed request states whether any byte of it may have been
+ * sent, which decides between the outcomes NOT_RUN and UNKNOWN.
  */
 #ifndef FG_HTTP_H
 #define FG_HTTP_H
@@ -12,42 +12,44 @@
 #include <stdint.h>
 
 enum fg_http_error {
-	FG_HTTP_OK = 0,	       /* a complete answer with a status came */
+	FG_HTTP_OK = 0,	       /* a complete answer with a status arrived */
 	FG_HTTP_NOT_SENT = 1,  /* no byte was sent */
-	FG_HTTP_LOST = 2,      /* sent, but the answer did not come whole */
-	FG_HTTP_TIMEOUT = 3,   /* sent, no whole answer in time */
-	FG_HTTP_CANCELLED = 4, /* sent, given up by the caller */
-	FG_HTTP_TOO_LARGE = 5, /* the answer is over answer_max_bytes */
+	FG_HTTP_LOST = 2,      /* sent; no complete answer, or on_data failed */
+	FG_HTTP_TIMEOUT = 3,   /* sent; no complete answer within timeout_ms */
+	FG_HTTP_CANCELLED = 4, /* sent; cancelled by the caller */
+	FG_HTTP_TOO_LARGE = 5, /* the answer exceeds answer_max_bytes */
 };
 
 struct fg_http_call {
 	const char *method; /* "GET", "POST" or "PUT" */
 	const char *addr;   /* "IP:port" */
 	const char *path;   /* "/v1/state", escaped by the caller */
-	const char *body;   /* NULL for none */
-	const char *header; /* one extra "Name: value" line, or NULL */
+	const char *body;   /* JSON; NULL: none */
+	const char *header; /* one additional "Name: value" line, or NULL */
 	uint32_t timeout_ms;
 	size_t answer_max_bytes; /* 0: 16 MiB */
-	bool new_connection; /* own connection: libcurl then never sends twice
-			      */
-	/* Takes the answer as it comes; false ends the call (LOST). NULL
-	 * collects it in fg_http_answer.text. */
+	/* Uses a connection of its own. On a reused connection, libcurl may
+	 * send the request a second time. */
+	bool new_connection;
+	/* Receives the body of the answer in pieces; false ends the request
+	 * with FG_HTTP_LOST. NULL collects the body in fg_http_answer.text. */
 	bool (*on_data)(void *arg, const char *data, size_t len_bytes);
 	void *arg;
-	const volatile int *cancel; /* polled; NULL for none */
+	const volatile int *cancel; /* polled; not 0 cancels; may be NULL */
 };
 
 struct fg_http_answer {
 	enum fg_http_error error;
 	uint32_t status;
-	char *text; /* g_malloc'ed, NUL-terminated; NULL with on_data */
+	char *text; /* body, NUL-terminated; NULL with on_data */
 	size_t len_bytes;
 };
 
-/* Once per process, before any thread. */
+/* Initializes libcurl; called once per process, before any thread starts. */
 void fg_http_init(void);
 
-/* Makes the call. The caller g_free()s answer->text. */
+/* Sends a request and waits for the answer. The caller g_free()s answer->text,
+ * also after an error. May be called from several threads. */
 void fg_http_perform(const struct fg_http_call *call,
 		     struct fg_http_answer *answer);
 
