--- a/lib/endpoint/fg_answer.c
+++ b/lib/endpoint/fg_answer.c
@@ -1,5 +1,4 @@
-/* The pure check that an engine's answer is whole and belongs to its request.
- */
+/* Check that an engine's answer is complete and belongs to its request. */
 #include "endpoint/fg_endpoint.h"
 
 #include <glib.h>
@@ -12,12 +11,12 @@
 	char id[FG_REQ_ID_BYTES];
 	char *adapter;
 	char *version;
-	GString *line; /* the line not yet ended */
+	GString *line; /* incomplete last line */
 	GString *text;
 	uint32_t tokens;
-	bool ended; /* the end mark came and held */
-	bool broken;
-	bool error; /* the engine reported an error */
+	bool ended;  /* a valid end mark was received */
+	bool broken; /* invalid, or the engine reported an error */
+	bool error;  /* the engine reported an error */
 };
 
 struct fg_answer *fg_answer_new(const struct fg_run_req *req)
@@ -32,22 +31,24 @@
 	return a;
 }
 
-static bool field_is(const json_t *o, const char *name, const char *want)
+static bool field_equals(const json_t *o, const char *name,
+			 const char *expected)
 {
-	return g_strcmp0(json_string_value(json_object_get(o, name)), want) ==
-	       0;
+	return g_strcmp0(json_string_value(json_object_get(o, name)),
+			 expected) == 0;
 }
 
-static bool end_mark_holds(const struct fg_answer *a, const json_t *o)
+static bool is_end_mark_valid(const struct fg_answer *a, const json_t *o)
 {
 	json_t *n = json_object_get(o, "n");
 
-	return field_is(o, "id", a->id) && field_is(o, "adapter", a->adapter) &&
-	       field_is(o, "version", a->version) && json_is_integer(n) &&
+	return field_equals(o, "id", a->id) &&
+	       field_equals(o, "adapter", a->adapter) &&
+	       field_equals(o, "version", a->version) && json_is_integer(n) &&
 	       json_integer_value(n) == (json_int_t)a->tokens;
 }
 
-static bool take_token(struct fg_answer *a, const json_t *o)
+static bool parse_token(struct fg_answer *a, const json_t *o)
 {
 	json_t *i = json_object_get(o, "i");
 	const char *t = json_string_value(json_object_get(o, "t"));
@@ -61,20 +62,20 @@
 	return true;
 }
 
-static bool take_line(struct fg_answer *a)
+static bool parse_line(struct fg_answer *a)
 {
 	json_t *o = json_loadb(a->line->str, a->line->len, 0, NULL);
 	bool ok = false;
 
 	if (o == NULL || a->ended) {
-		ok = false; /* garbage, or something after the end mark */
+		ok = false; /* not JSON, or a line after the end mark */
 	} else if (json_object_get(o, "error") != NULL) {
 		a->error = true;
 	} else if (json_is_true(json_object_get(o, "end"))) {
-		ok = end_mark_holds(a, o);
+		ok = is_end_mark_valid(a, o);
 		a->ended = ok;
 	} else {
-		ok = take_token(a, o);
+		ok = parse_token(a, o);
 	}
 	json_decref(o);
 	return ok;
@@ -89,7 +90,7 @@
 			continue;
 		}
 		if (a->line->len > 0)
-			a->broken = !take_line(a);
+			a->broken = !parse_line(a);
 		g_string_truncate(a->line, 0);
 	}
 	return !a->broken;
--- a/lib/endpoint/fg_endpoint_http.c
+++ b/lib/endpoint/fg_endpoint_http.c
@@ -1,4 +1,4 @@
-/* Engines and plain services over HTTP, docs/PROTOCOL.md sections 3 and 4. */
+/* Engines and plain services over HTTP; see docs/PROTOCOL.md, sections 3-4. */
 #include "endpoint/fg_endpoint.h"
 
 #include <glib.h>
@@ -18,26 +18,27 @@
 	void (*on_text)(void *arg, const char *piece);
 	void *arg;
 	uint32_t pieces;
-	GString *raw; /* the first bytes, to read a refusal from */
+	GString *raw; /* first bytes of the body, which is JSON in a refusal */
 };
 
 static bool on_engine_data(void *arg, const char *data, size_t len_bytes)
 {
 	struct run *run = arg;
-	size_t had = strlen(fg_answer_text(run->answer));
+	size_t old_len = strlen(fg_answer_text(run->answer));
 	bool ok;
 
 	if (run->raw->len < ERROR_BODY_MAX_BYTES)
 		g_string_append_len(run->raw, data, (gssize)len_bytes);
 	ok = fg_answer_feed(run->answer, data, len_bytes);
-	if (run->on_text != NULL && fg_answer_text(run->answer)[had] != '\0') {
-		run->on_text(run->arg, fg_answer_text(run->answer) + had);
+	if (run->on_text != NULL &&
+	    fg_answer_text(run->answer)[old_len] != '\0') {
+		run->on_text(run->arg, fg_answer_text(run->answer) + old_len);
 		run->pieces++;
 	}
 	return ok;
 }
 
-static char *engine_body(const struct fg_run_req *req)
+static char *pack_engine_body(const struct fg_run_req *req)
 {
 	json_t *o = json_pack(
 		"{s:s,s:s,s:s,s:s,s:s,s:i,s:i,s:i}", "id", req->id, "tag",
@@ -51,7 +52,7 @@
 	return text;
 }
 
-static char *plain_body(const struct fg_run_req *req)
+static char *pack_plain_body(const struct fg_run_req *req)
 {
 	const char *op = req->cls == FG_CLASS_FILING ? "file" : "status";
 	json_t *body = json_loads(req->body, JSON_DECODE_ANY, NULL);
@@ -67,9 +68,9 @@
 	return text;
 }
 
-/* What a status other than 200 says about whether the request ran. */
-static enum fg_run_status status_of_refusal(uint32_t status, const char *text,
-					    bool *leaving)
+/* Maps an answer with an HTTP status other than 200. */
+static enum fg_run_status classify_refusal(uint32_t status, const char *text,
+					   bool *leaving)
 {
 	json_t *o = json_loads(text != NULL ? text : "", 0, NULL);
 	const char *error = json_string_value(json_object_get(o, "error"));
@@ -87,7 +88,7 @@
 	return st;
 }
 
-static enum fg_run_status status_of_error(enum fg_http_error error)
+static enum fg_run_status classify_http_error(enum fg_http_error error)
 {
 	switch (error) {
 	case FG_HTTP_NOT_SENT:
@@ -103,7 +104,7 @@
 	}
 }
 
-static bool provably_not_run(enum fg_run_status st)
+static bool is_provably_not_run(enum fg_run_status st)
 {
 	return st == FG_RUN_NOT_SENT || st == FG_RUN_REFUSED ||
 	       st == FG_RUN_NOT_LOADED;
@@ -126,13 +127,12 @@
 	g_free(body);
 }
 
-static enum fg_run_status judge_engine(const struct run *run,
-				       const struct fg_http_answer *answer,
-				       bool *leaving)
+static enum fg_run_status
+classify_engine_answer(const struct run *run,
+		       const struct fg_http_answer *answer, bool *leaving)
 {
 	if (answer->status != 0 && answer->status != 200)
-		return status_of_refusal(answer->status, run->raw->str,
-					 leaving);
+		return classify_refusal(answer->status, run->raw->str, leaving);
 	if (run->req->unchecked && answer->status == 200)
 		return FG_RUN_DONE;
 	if (fg_answer_has_error(run->answer))
@@ -140,7 +140,7 @@
 	if (answer->error == FG_HTTP_OK)
 		return fg_answer_is_whole(run->answer) ? FG_RUN_DONE
 						       : FG_RUN_BAD_ANSWER;
-	return status_of_error(answer->error);
+	return classify_http_error(answer->error);
 }
 
 static void run_engine(const struct fg_listed *ep, const struct fg_run_req *req,
@@ -154,7 +154,7 @@
 		.arg = arg,
 		.raw = g_string_new(NULL),
 	};
-	char *body = engine_body(req);
+	char *body = pack_engine_body(req);
 	struct fg_http_call call = {
 		.method = "POST",
 		.addr = ep->addr,
@@ -170,7 +170,7 @@
 	struct fg_http_answer answer;
 
 	fg_http_perform(&call, &answer);
-	out->status = judge_engine(&run, &answer, &out->leaving);
+	out->status = classify_engine_answer(&run, &answer, &out->leaving);
 	if (out->status == FG_RUN_DONE) {
 		out->text = g_strdup(fg_answer_text(run.answer));
 		out->tokens = fg_answer_tokens(run.answer);
@@ -183,8 +183,9 @@
 	g_string_free(run.raw, TRUE);
 }
 
-/* The whole result of a plain call; NULL if it is not this request's. */
-static char *plain_result(const struct fg_run_req *req, const char *text)
+/* Returns the result in a plain service's answer. NULL: the answer belongs to
+ * another request, or the length that it states does not match. */
+static char *read_plain_result(const struct fg_run_req *req, const char *text)
 {
 	json_t *o = json_loads(text, 0, NULL);
 	const char *id = json_string_value(json_object_get(o, "id"));
@@ -206,7 +207,7 @@
 static void run_plain(const struct fg_listed *ep, const struct fg_run_req *req,
 		      const volatile int *cancel, struct fg_run_result *out)
 {
-	char *body = plain_body(req);
+	char *body = pack_plain_body(req);
 	struct fg_http_call call = {
 		.method = "POST",
 		.addr = ep->addr,
@@ -215,21 +216,22 @@
 		.timeout_ms = req->timeout_ms,
 		.answer_max_bytes = ANSWER_MAX_BYTES,
 		.new_connection = true,
-		/* A filing that was sent is never given up early. */
+		/* A filing that was sent is not cancelled: its answer is
+		 * awaited until the deadline. */
 		.cancel = req->cls == FG_CLASS_FILING ? NULL : cancel,
 	};
 	struct fg_http_answer answer;
 
 	fg_http_perform(&call, &answer);
 	if (answer.status != 0 && answer.status != 200) {
-		out->status = status_of_refusal(answer.status, answer.text,
-						&out->leaving);
+		out->status = classify_refusal(answer.status, answer.text,
+					       &out->leaving);
 	} else if (answer.error == FG_HTTP_OK) {
-		out->text = plain_result(req, answer.text);
+		out->text = read_plain_result(req, answer.text);
 		out->status =
 			out->text != NULL ? FG_RUN_DONE : FG_RUN_BAD_ANSWER;
 	} else {
-		out->status = status_of_error(answer.error);
+		out->status = classify_http_error(answer.error);
 	}
 	g_free(answer.text);
 	free(body);
@@ -239,18 +241,19 @@
 		     void (*on_text)(void *arg, const char *piece), void *arg,
 		     const volatile int *cancel, struct fg_run_result *out)
 {
-	fg_ms begin = fg_clock_now();
+	fg_ms started_at = fg_clock_now();
 
 	memset(out, 0, sizeof(*out));
 	if (req->adapter != NULL)
 		run_engine(ep, req, on_text, arg, cancel, out);
 	else
 		run_plain(ep, req, cancel, out);
-	out->not_run = provably_not_run(out->status);
-	out->service_ms = (uint32_t)(fg_clock_now() - begin);
+	out->not_run = is_provably_not_run(out->status);
+	out->service_ms = (uint32_t)(fg_clock_now() - started_at);
 }
 
-static enum fg_order_status read_order_answer(const struct fg_http_answer *a)
+static enum fg_order_status
+classify_order_answer(const struct fg_http_answer *a)
 {
 	if (a->error == FG_HTTP_NOT_SENT)
 		return FG_ORDER_NOT_SENT;
@@ -268,7 +271,7 @@
 	}
 }
 
-static const char *order_path(enum fg_order_kind kind)
+static const char *get_order_path(enum fg_order_kind kind)
 {
 	switch (kind) {
 	case FG_ORDER_LOAD:
@@ -281,8 +284,8 @@
 	return NULL;
 }
 
-static enum fg_order_status http_order(const struct fg_listed *ep,
-				       const struct fg_order *order)
+static enum fg_order_status http_send_order(const struct fg_listed *ep,
+					    const struct fg_order *order)
 {
 	json_t *o = json_pack("{s:I,s:i,s:I}", "order", (json_int_t)order->id,
 			      "slot", (int)order->slot, "fence",
@@ -290,7 +293,7 @@
 	struct fg_http_call call = {
 		.method = "POST",
 		.addr = ep->addr,
-		.path = order_path(order->kind),
+		.path = get_order_path(order->kind),
 		.timeout_ms = order->timeout_ms,
 		.new_connection = true,
 	};
@@ -309,7 +312,7 @@
 	g_free(answer.text);
 	free(body);
 	json_decref(o);
-	return read_order_answer(&answer);
+	return classify_order_answer(&answer);
 }
 
 static void parse_slots(const json_t *root, struct fg_engine_state *out)
@@ -338,14 +341,14 @@
 	}
 }
 
-static uint64_t integer_field(const json_t *o, const char *name)
+static uint64_t read_integer(const json_t *o, const char *name)
 {
 	return (uint64_t)json_integer_value(json_object_get(o, name));
 }
 
-static enum fg_pf_result http_state(const struct fg_listed *ep,
-				    uint32_t timeout_ms,
-				    struct fg_engine_state *out)
+static enum fg_pf_result http_read_state(const struct fg_listed *ep,
+					 uint32_t timeout_ms,
+					 struct fg_engine_state *out)
 {
 	struct fg_http_call call = {
 		.method = "GET",
@@ -364,9 +367,9 @@
 	g_free(answer.text);
 	if (root == NULL)
 		return FG_PF_DOWN;
-	out->epoch = integer_field(root, "epoch");
-	out->fence = integer_field(root, "fence");
-	out->batch = (uint32_t)integer_field(root, "batch");
+	out->epoch = read_integer(root, "epoch");
+	out->fence = read_integer(root, "fence");
+	out->batch = (uint32_t)read_integer(root, "batch");
 	out->checks_fence = json_is_true(json_object_get(root, "checks_fence"));
 	out->leaving = json_is_true(json_object_get(root, "leaving"));
 	parse_slots(root, out);
@@ -376,6 +379,6 @@
 
 const struct fg_endpoint_ops fg_endpoint_http_ops = {
 	.run = http_run,
-	.send_order = http_order,
-	.read_state = http_state,
+	.send_order = http_send_order,
+	.read_state = http_read_state,
 };
