--- a/lib/platform/fg_platform.c
+++ b/lib/platform/fg_platform.c
@@ -1,4 +1,4 @@
-/* Plain data of table operations and their results. */
+/* Allocates and frees table operations and their results. */
 #include "platform/fg_platform.h"
 
 #include <glib.h>
--- a/lib/platform/fg_platform.h
+++ b/lib/platform/fg_platform.h
@@ -1,11 +1,11 @@
 /*
- * fg_platform - the platform as the system sees it.
+ * fg_platform - interface to the platform.
  *
- * Part 1 holds the plain data of table operations, which decision modules
- * put into their actions and get back as results. Part 2 is the interface
- * that the runtime calls; an adapter to another platform fills the table of
- * function pointers. lib/platform/fg_platform_http.c speaks the HTTP protocol
- * of docs/PROTOCOL.md, which standin/platform serves.
+ * Part 1 holds table operations and their results as plain data: decision
+ * modules emit operations in their actions and get the results back. Part 2 is
+ * a table of blocking calls that the runtime makes. fg_platform_http_new()
+ * implements it over the HTTP protocol of docs/PROTOCOL.md, which
+ * standin/platform serves; an adapter to another platform fills the same table.
  */
 #ifndef FG_PLATFORM_H
 #define FG_PLATFORM_H
@@ -18,35 +18,35 @@
 
 /* ---- Part 1: table operations ---- */
 
-#define FG_ROW_KEY_MAX 160 /* bytes, with NUL */
+#define FG_ROW_KEY_MAX 160 /* bytes, including the NUL */
 #define FG_TXN_MAX 32	   /* checks or writes in one transaction */
 
-/* Result of any platform call. */
+/* Result of a platform call. */
 enum fg_pf_result {
 	FG_PF_OK = 0,
-	FG_PF_CONFLICT = 1, /* a check did not hold; nothing was written */
+	FG_PF_CONFLICT = 1, /* a check failed; nothing was written */
 	FG_PF_ABSENT = 2,   /* no such row or object */
-	FG_PF_LOST = 3,	    /* no answer: it may or may not have taken effect */
-	FG_PF_DOWN = 4,	    /* refused or unreachable: it had no effect */
-	FG_PF_BAD_ANSWER = 5, /* the platform answered something unreadable */
+	FG_PF_LOST = 3,	    /* no answer: the call may have taken effect */
+	FG_PF_DOWN = 4,	    /* refused or unreachable: the call had no effect */
+	FG_PF_BAD_ANSWER = 5, /* the answer could not be decoded */
 };
 
-/* A row. The value is a JSON text; row_version grows with every write. */
+/* A row of the table. row_version increases with each write. */
 struct fg_row {
 	char key[FG_ROW_KEY_MAX];
 	uint64_t row_version;
-	char *value; /* owned by the row, NULL when deleted */
+	char *value; /* JSON, owned by the row; NULL when deleted */
 };
 
 enum fg_op_kind {
 	FG_OP_GET = 1,	/* key */
 	FG_OP_SCAN = 2, /* all rows whose key starts with key */
-	FG_OP_TXN = 3,	/* all writes if all checks hold, else none */
+	FG_OP_TXN = 3,	/* all writes, or none if a check fails */
 };
 
 /*
- * One write, made only if the row's version is expect_version; 0 expects that
- * the row is absent; FG_ANY_VERSION expects nothing.
+ * A write and its check: the row must have version expect_version. 0: the row
+ * must be absent. FG_ANY_VERSION: no check.
  */
 #define FG_ANY_VERSION UINT64_MAX
 
@@ -68,36 +68,40 @@
 	uint64_t id;
 	enum fg_op_kind kind;
 	enum fg_pf_result result;
-	struct fg_row *rows; /* GET: one; SCAN: all; TXN: one per write, in
-			      * order, with its new version and no value; TXN
-			      * conflict: the row in the way, with version 0
-			      * and no value when it is absent; owned */
+	/*
+	 * Owned. GET: the row. SCAN: all rows. TXN: one row per write, in
+	 * order, with its new version and without a value. TXN with
+	 * FG_PF_CONFLICT: the row whose check failed, with version 0 and
+	 * without a value when it is absent.
+	 */
+	struct fg_row *rows;
 	size_t n_rows;
 };
 
-/* Allocates an operation without writes. Never NULL. */
+/* Returns an operation without writes, which the caller frees. `key` may be
+ * NULL. */
 struct fg_table_op *fg_table_op_new(uint64_t id, enum fg_op_kind kind,
 				    const char *key);
 
-/* Appends a write; takes a copy of value (NULL deletes). */
+/* Appends a write; `value` is copied, NULL deletes the row. */
 void fg_table_op_add_write(struct fg_table_op *op, const char *key,
 			   uint64_t expect_version, const char *value);
 
-/* Frees the operation and all it owns; NULL is allowed. */
+/* Frees an operation and its writes; NULL is allowed. */
 void fg_table_op_free(struct fg_table_op *op);
 
-/* Allocates a result without rows. Never NULL. */
+/* Returns a result without rows, which the caller frees. */
 struct fg_table_result *fg_table_result_new(uint64_t id, enum fg_op_kind kind,
 					    enum fg_pf_result result);
 
-/* Appends a row; takes a copy of value. */
+/* Appends a row; `value` is copied and may be NULL. */
 void fg_table_result_add_row(struct fg_table_result *res, const char *key,
 			     uint64_t row_version, const char *value);
 
-/* Frees the result and all it owns; NULL is allowed. */
+/* Frees a result and its rows; NULL is allowed. */
 void fg_table_result_free(struct fg_table_result *res);
 
-/* ---- What the platform's list says of an instance or endpoint ---- */
+/* ---- Instances and endpoints in the platform's list ---- */
 
 enum fg_listed_kind {
 	FG_LISTED_ENTRY = 1, /* an instance of this system */
@@ -111,33 +115,36 @@
 struct fg_listed {
 	uint64_t id; /* fg_hash_str(name) */
 	enum fg_listed_kind kind;
-	char name[FG_NAME_BYTES]; /* unique, new for every replacement */
+	char name[FG_NAME_BYTES]; /* unique; a replacement gets a new one */
 	char addr[FG_ADDR_BYTES]; /* HTTP, "127.0.0.1:8080" */
-	char rpc[FG_ADDR_BYTES];  /* inner protocol; entries alone */
+	char rpc[FG_ADDR_BYTES];  /* RPC between instances; entries only */
 	char region[FG_NAME_BYTES];
 	char dc[FG_NAME_BYTES];
 	char service[FG_NAME_BYTES]; /* base model or plain service served */
 	bool leaving;
 };
 
-/* ---- Part 2: the interface the runtime calls; all calls block ---- */
+/* ---- Part 2: the interface that the runtime calls; all calls block ---- */
 
 struct fg_platform;
 
 struct fg_platform_ops {
-	/* Runs op; the caller frees the result with fg_table_result_free().
-	 * Never NULL. */
+	/* Executes an operation. Returns the result, never NULL, which the
+	 * caller frees with fg_table_result_free(). */
 	struct fg_table_result *(*run_op)(struct fg_platform *p,
 					  const struct fg_table_op *op);
-	/* Reads the list; *out is a g_malloc'ed array of *n. */
+	/* Reads the list of instances and endpoints. *out is an array of *n
+	 * items, which the caller g_free()s. */
 	enum fg_pf_result (*read_list)(struct fg_platform *p,
 				       struct fg_listed **out, size_t *n);
-	/* Tells the platform that this instance is live or leaving. */
+	/* Announces this instance to the platform as live or leaving. */
 	enum fg_pf_result (*announce)(struct fg_platform *p,
 				      const struct fg_listed *self);
-	/* Objects: *text is g_malloc'ed. */
+	/* Reads an object; the caller g_free()s *text, which is NULL unless the
+	 * result is FG_PF_OK. */
 	enum fg_pf_result (*object_get)(struct fg_platform *p, const char *name,
 					char **text);
+	/* Writes an object. */
 	enum fg_pf_result (*object_put)(struct fg_platform *p, const char *name,
 					const char *text);
 	void (*free)(struct fg_platform *p);
@@ -148,8 +155,9 @@
 };
 
 /*
- * Connects to the platform at addr ("127.0.0.1:9000"), naming this instance
- * as `name`. Safe for use by several threads. timeout_ms bounds every call.
+ * Returns the platform at addr ("127.0.0.1:9000"), which the caller frees by
+ * ops->free(). Each call carries `name`, the name of this instance, and ends
+ * after timeout_ms. The calls may be made from several threads.
  */
 struct fg_platform *fg_platform_http_new(const char *addr, const char *name,
 					 uint32_t timeout_ms);
--- a/lib/platform/fg_platform_http.c
+++ b/lib/platform/fg_platform_http.c
@@ -1,4 +1,4 @@
-/* The platform over HTTP, as docs/PROTOCOL.md section 2 says. */
+/* Platform over HTTP; see docs/PROTOCOL.md, section 2. */
 #include "platform/fg_platform.h"
 
 #include <glib.h>
@@ -29,16 +29,16 @@
 		.body = body,
 		.header = p->header,
 		.timeout_ms = p->timeout_ms,
-		/* A write that libcurl repeated on a new connection would
-		 * hide that the first one took effect. */
+		/* On a reused connection, libcurl may send a write again. The
+		 * answer would then not show that the first one took effect. */
 		.new_connection = body != NULL,
 	};
 
 	fg_http_perform(&call, answer);
 }
 
-/* Turns HTTP outcomes into the platform's own results. */
-static enum fg_pf_result to_result(const struct fg_http_answer *answer)
+/* Maps the result of an HTTP request. */
+static enum fg_pf_result get_pf_result(const struct fg_http_answer *answer)
 {
 	if (answer->error == FG_HTTP_NOT_SENT)
 		return FG_PF_DOWN;
@@ -72,8 +72,8 @@
 	return true;
 }
 
-static void read_one(struct http_platform *p, const struct fg_table_op *op,
-		     struct fg_table_result *res)
+static void get_row(struct http_platform *p, const struct fg_table_op *op,
+		    struct fg_table_result *res)
 {
 	char *key = g_uri_escape_string(op->key, NULL, FALSE);
 	char *path = g_strdup_printf("/table/row?key=%s", key);
@@ -81,7 +81,7 @@
 	json_t *row;
 
 	call_platform(p, "GET", path, NULL, &answer);
-	res->result = to_result(&answer);
+	res->result = get_pf_result(&answer);
 	if (res->result == FG_PF_OK) {
 		row = json_loads(answer.text, 0, NULL);
 		if (!add_row(res, row))
@@ -93,7 +93,8 @@
 	g_free(key);
 }
 
-/* Reads one page; returns true when there are more. */
+/* Appends the page of rows after key `after`. Returns true when more rows
+ * follow. */
 static bool read_page(struct http_platform *p, const char *prefix,
 		      const char *after, struct fg_table_result *res)
 {
@@ -108,7 +109,7 @@
 	bool more = false;
 
 	call_platform(p, "GET", path, NULL, &answer);
-	res->result = to_result(&answer);
+	res->result = get_pf_result(&answer);
 	if (res->result == FG_PF_OK) {
 		page = json_loads(answer.text, 0, NULL);
 		json_array_foreach(json_object_get(page, "rows"), i,
@@ -138,7 +139,7 @@
 	}
 }
 
-static char *txn_body(const struct fg_table_op *op)
+static char *pack_txn_body(const struct fg_table_op *op)
 {
 	json_t *writes = json_array();
 	json_t *root;
@@ -188,12 +189,13 @@
 static void run_txn(struct http_platform *p, const struct fg_table_op *op,
 		    struct fg_table_result *res)
 {
-	char *body = txn_body(op);
+	char *body = pack_txn_body(op);
 	struct fg_http_answer answer;
 
 	call_platform(p, "POST", "/table/txn", body, &answer);
-	res->result = to_result(&answer);
-	/* An unreadable answer to a write leaves its effect open. */
+	res->result = get_pf_result(&answer);
+	/* After an answer that cannot be decoded, it is unknown whether the
+	 * writes took effect. */
 	if (res->result == FG_PF_BAD_ANSWER)
 		res->result = FG_PF_LOST;
 	if (res->result == FG_PF_OK || res->result == FG_PF_CONFLICT)
@@ -202,8 +204,8 @@
 	free(body);
 }
 
-static struct fg_table_result *http_table(struct fg_platform *base,
-					  const struct fg_table_op *op)
+static struct fg_table_result *http_run_op(struct fg_platform *base,
+					   const struct fg_table_op *op)
 {
 	struct http_platform *p = (struct http_platform *)base;
 	struct fg_table_result *res;
@@ -211,7 +213,7 @@
 	res = fg_table_result_new(op->id, op->kind, FG_PF_OK);
 	switch (op->kind) {
 	case FG_OP_GET:
-		read_one(p, op, res);
+		get_row(p, op, res);
 		break;
 	case FG_OP_SCAN:
 		scan_rows(p, op, res);
@@ -257,8 +259,8 @@
 	return out->kind != 0 && out->name[0] != '\0';
 }
 
-static enum fg_pf_result http_list(struct fg_platform *base,
-				   struct fg_listed **out, size_t *n)
+static enum fg_pf_result http_read_list(struct fg_platform *base,
+					struct fg_listed **out, size_t *n)
 {
 	struct http_platform *p = (struct http_platform *)base;
 	struct fg_http_answer answer;
@@ -271,7 +273,7 @@
 	*out = NULL;
 	*n = 0;
 	call_platform(p, "GET", "/instances", NULL, &answer);
-	result = to_result(&answer);
+	result = get_pf_result(&answer);
 	if (result == FG_PF_OK) {
 		root = json_loads(answer.text, 0, NULL);
 		list = json_object_get(root, "instances");
@@ -305,7 +307,7 @@
 	free(body);
 	json_decref(o);
 	g_free(answer.text);
-	return to_result(&answer);
+	return get_pf_result(&answer);
 }
 
 static enum fg_pf_result http_object_get(struct fg_platform *base,
@@ -318,7 +320,7 @@
 
 	call_platform(p, "GET", path, NULL, &answer);
 	g_free(path);
-	result = to_result(&answer);
+	result = get_pf_result(&answer);
 	*text = NULL;
 	if (result == FG_PF_OK)
 		*text = g_steal_pointer(&answer.text);
@@ -336,7 +338,7 @@
 	call_platform(p, "PUT", path, text, &answer);
 	g_free(path);
 	g_free(answer.text);
-	return to_result(&answer);
+	return get_pf_result(&answer);
 }
 
 static void http_free(struct fg_platform *base)
@@ -345,8 +347,8 @@
 }
 
 static const struct fg_platform_ops http_ops = {
-	.run_op = http_table,
-	.read_list = http_list,
+	.run_op = http_run_op,
+	.read_list = http_read_list,
 	.announce = http_announce,
 	.object_get = http_object_get,
 	.object_put = http_object_put,
