--- a/tests/unit/node_bed.c
+++ b/tests/unit/node_fixture.c
@@ -1,4 +1,4 @@
-#include "node_bed.h"
+#include "node_fixture.h"
 
 #include <string.h>
 
@@ -12,8 +12,8 @@
 
 static void io_reply(void *arg, uint64_t req, const struct fg_reply *reply)
 {
-	struct bed *b = arg;
-	struct bed_reply *r = g_new0(struct bed_reply, 1);
+	struct node_fixture *fx = arg;
+	struct nfx_reply *r = g_new0(struct nfx_reply, 1);
 
 	r->req = req;
 	r->outcome = reply->outcome;
@@ -21,46 +21,46 @@
 	r->text = g_strdup(reply->text);
 	r->replayed = reply->replayed;
 	r->address = g_strdup(reply->address);
-	g_ptr_array_add(b->replies, r);
+	g_ptr_array_add(fx->replies, r);
 }
 
 static void io_run(void *arg, const struct fg_run_cmd *cmd)
 {
-	struct bed *b = arg;
+	struct node_fixture *fx = arg;
 
-	g_array_append_val(b->runs, *cmd);
+	g_array_append_val(fx->runs, *cmd);
 }
 
 static void io_order(void *arg, const struct fg_order_cmd *cmd)
 {
-	struct bed *b = arg;
+	struct node_fixture *fx = arg;
 	struct fg_order_cmd copy = *cmd;
 
 	copy.order.adapter = g_strdup(cmd->order.adapter);
 	copy.order.version = g_strdup(cmd->order.version);
-	g_array_append_val(b->orders, copy);
+	g_array_append_val(fx->orders, copy);
 }
 
 static void io_state(void *arg, const struct fg_listed *ep)
 {
-	struct bed *b = arg;
+	struct node_fixture *fx = arg;
 
 	(void)ep;
-	b->state_asked = true;
+	fx->state_asked = true;
 }
 
 static void io_table(void *arg, struct fg_table_op *op)
 {
-	struct bed *b = arg;
+	struct node_fixture *fx = arg;
 
-	g_queue_push_tail(&b->ops, op);
+	g_queue_push_tail(&fx->ops, op);
 }
 
 static void io_list(void *arg)
 {
-	struct bed *b = arg;
+	struct node_fixture *fx = arg;
 
-	b->list_asked = true;
+	fx->list_asked = true;
 }
 
 static void io_announce(void *arg, bool leaving)
@@ -71,23 +71,23 @@
 
 static void io_send(void *arg, const struct fg_listed *to, const fg_msg *msg)
 {
-	struct bed *b = arg;
+	struct node_fixture *fx = arg;
 
 	(void)to;
-	g_ptr_array_add(b->sent, fg_msg_dup(msg));
+	g_ptr_array_add(fx->sent, fg_msg_dup(msg));
 }
 
 static void io_change_answer(void *arg, uint64_t id,
 			     enum fg_change_status status, uint64_t revision,
 			     const char *text)
 {
-	struct bed *b = arg;
+	struct node_fixture *fx = arg;
 
 	(void)id;
 	(void)revision;
 	(void)text;
 	if (status == FG_CHANGE_ACCEPTED)
-		b->accepted++;
+		fx->changes_accepted++;
 }
 
 static void io_event(void *arg, const char *name, json_t *fields)
@@ -99,93 +99,93 @@
 
 /* ---- Answers of the fakes ---- */
 
-static void answer_ops(struct bed *b)
+static void answer_ops(struct node_fixture *fx)
 {
 	struct fg_table_op *op;
 
-	while ((op = g_queue_pop_head(&b->ops)) != NULL) {
-		struct fg_table_result *res = fake_table_run(b->table, op);
+	while ((op = g_queue_pop_head(&fx->ops)) != NULL) {
+		struct fg_table_result *res = fake_table_run(fx->table, op);
 
-		fg_node_table_done(b->node, b->now, res);
+		fg_node_table_done(fx->node, fx->now, res);
 		fg_table_result_free(res);
 		fg_table_op_free(op);
 	}
 }
 
-static void answer_list(struct bed *b)
+static void answer_list(struct node_fixture *fx)
 {
-	if (!b->list_asked)
+	if (!fx->list_asked)
 		return;
-	b->list_asked = false;
-	if (b->table->fault == FG_PF_OK)
-		fg_node_list_done(b->node, b->now, FG_PF_OK,
-				  (struct fg_listed *)b->list->data,
-				  b->list->len);
+	fx->list_asked = false;
+	if (fx->table->fault == FG_PF_OK)
+		fg_node_list_done(fx->node, fx->now, FG_PF_OK,
+				  (struct fg_listed *)fx->list->data,
+				  fx->list->len);
 	else
-		fg_node_list_done(b->node, b->now, FG_PF_DOWN, NULL, 0);
+		fg_node_list_done(fx->node, fx->now, FG_PF_DOWN, NULL, 0);
 }
 
-static void answer_state(struct bed *b)
+static void answer_state(struct node_fixture *fx)
 {
 	struct fg_engine_state *st;
 
-	if (!b->state_asked || !b->auto_state)
+	if (!fx->state_asked || !fx->auto_state)
 		return;
-	b->state_asked = false;
-	if (b->state_fails) {
-		fg_node_engine_state(b->node, b->now, fg_hash_str(BED_ENGINE),
-				     b->now, NULL);
+	fx->state_asked = false;
+	if (fx->state_fails) {
+		fg_node_engine_state(fx->node, fx->now, fg_hash_str(NFX_ENGINE),
+				     fx->now, NULL);
 		return;
 	}
 	st = g_new0(struct fg_engine_state, 1);
 	st->epoch = 1;
-	st->slots = BED_SLOTS;
-	st->batch = BED_BATCH;
-	for (int i = 0; i < BED_SLOTS; i++) {
-		if (b->adapter[i] == NULL)
+	st->slots = NFX_SLOTS;
+	st->batch = NFX_BATCH;
+	for (int i = 0; i < NFX_SLOTS; i++) {
+		if (fx->adapter[i] == NULL)
 			continue;
-		g_strlcpy(st->slot[i].adapter, b->adapter[i], FG_NAME_BYTES);
+		g_strlcpy(st->slot[i].adapter, fx->adapter[i], FG_NAME_BYTES);
 		g_strlcpy(st->slot[i].version, "v1", FG_NAME_BYTES);
-		st->slot[i].running = b->running[i];
+		st->slot[i].running = fx->running[i];
 	}
-	fg_node_engine_state(b->node, b->now, fg_hash_str(BED_ENGINE), b->now,
-			     st);
+	fg_node_engine_state(fx->node, fx->now, fg_hash_str(NFX_ENGINE),
+			     fx->now, st);
 	g_free(st);
 }
 
-static void answer_orders(struct bed *b)
+static void answer_orders(struct node_fixture *fx)
 {
-	while (b->auto_order && b->orders->len > 0) {
+	while (fx->auto_order && fx->orders->len > 0) {
 		struct fg_order_cmd cmd =
-			g_array_index(b->orders, struct fg_order_cmd, 0);
+			g_array_index(fx->orders, struct fg_order_cmd, 0);
 
-		g_array_remove_index(b->orders, 0);
+		g_array_remove_index(fx->orders, 0);
 		if (cmd.order.kind == FG_ORDER_LOAD) {
-			g_free(b->adapter[cmd.order.slot]);
-			b->adapter[cmd.order.slot] =
+			g_free(fx->adapter[cmd.order.slot]);
+			fx->adapter[cmd.order.slot] =
 				g_strdup(cmd.order.adapter);
 		}
-		fg_node_order_done(b->node, b->now, cmd.ep.id, cmd.order.id,
+		fg_node_order_done(fx->node, fx->now, cmd.ep.id, cmd.order.id,
 				   FG_ORDER_DONE);
 		g_free((char *)cmd.order.adapter);
 		g_free((char *)cmd.order.version);
 	}
 }
 
-void bed_run(struct bed *b, fg_ms ms)
+void nfx_advance(struct node_fixture *fx, fg_ms ms)
 {
-	for (fg_ms end = b->now + ms; b->now < end; b->now += STEP_MS) {
-		answer_ops(b);
-		answer_list(b);
-		answer_state(b);
-		answer_orders(b);
-		fg_node_tick(b->node, b->now);
+	for (fg_ms end = fx->now + ms; fx->now < end; fx->now += STEP_MS) {
+		answer_ops(fx);
+		answer_list(fx);
+		answer_state(fx);
+		answer_orders(fx);
+		fg_node_tick(fx->node, fx->now);
 	}
-	answer_ops(b);
+	answer_ops(fx);
 }
 
-void bed_list(struct bed *b, enum fg_listed_kind kind, const char *name,
-	      bool leaving)
+void nfx_set_listed(struct node_fixture *fx, enum fg_listed_kind kind,
+		    const char *name, bool leaving)
 {
 	struct fg_listed item = { .kind = kind, .leaving = leaving };
 
@@ -197,18 +197,20 @@
 	g_strlcpy(item.service, kind == FG_LISTED_PLAIN ? "orders" : "menus",
 		  sizeof(item.service));
 	item.id = fg_hash_str(name);
-	for (guint i = 0; i < b->list->len; i++)
-		if (g_array_index(b->list, struct fg_listed, i).id == item.id) {
-			g_array_remove_index(b->list, i);
+	for (guint i = 0; i < fx->list->len; i++)
+		if (g_array_index(fx->list, struct fg_listed, i).id ==
+		    item.id) {
+			g_array_remove_index(fx->list, i);
 			break;
 		}
-	g_array_append_val(b->list, item);
+	g_array_append_val(fx->list, item);
 }
 
 /* ---- Requests ---- */
 
-void bed_generate(struct bed *b, uint64_t id, const char *adapter,
-		  enum fg_class cls, uint32_t deadline_ms)
+void nfx_send_generate(struct node_fixture *fx, uint64_t id,
+		       const char *adapter, enum fg_class cls,
+		       uint32_t deadline_ms)
 {
 	struct fg_request req = {
 		.id = id,
@@ -221,10 +223,11 @@
 		.deadline_ms = deadline_ms,
 	};
 
-	fg_node_request(b->node, b->now, &req);
+	fg_node_request(fx->node, fx->now, &req);
 }
 
-void bed_file(struct bed *b, uint64_t id, const char *key, const char *body)
+void nfx_send_filing(struct node_fixture *fx, uint64_t id, const char *key,
+		     const char *body)
 {
 	struct fg_request req = {
 		.id = id,
@@ -237,10 +240,10 @@
 		.deadline_ms = 10000,
 	};
 
-	fg_node_request(b->node, b->now, &req);
+	fg_node_request(fx->node, fx->now, &req);
 }
 
-void bed_status(struct bed *b, uint64_t id)
+void nfx_send_status(struct node_fixture *fx, uint64_t id)
 {
 	struct fg_request req = {
 		.id = id,
@@ -252,30 +255,31 @@
 		.deadline_ms = 10000,
 	};
 
-	fg_node_request(b->node, b->now, &req);
+	fg_node_request(fx->node, fx->now, &req);
 }
 
-void bed_run_done(struct bed *b, guint i, enum fg_run_status status)
+void nfx_finish_run(struct node_fixture *fx, guint i, enum fg_run_status status)
 {
 	struct fg_run_cmd cmd;
 	struct fg_run_result res = { .status = status, .service_ms = 100 };
 
-	g_assert_cmpuint(i, <, b->runs->len);
-	cmd = g_array_index(b->runs, struct fg_run_cmd, i);
-	g_array_remove_index(b->runs, i);
+	g_assert_cmpuint(i, <, fx->runs->len);
+	cmd = g_array_index(fx->runs, struct fg_run_cmd, i);
+	g_array_remove_index(fx->runs, i);
 	res.not_run = status == FG_RUN_NOT_SENT || status == FG_RUN_REFUSED ||
 		      status == FG_RUN_NOT_LOADED;
 	if (status == FG_RUN_DONE)
 		res.text = cmd.run.adapter != NULL ? "text" : "{\"ok\":1}";
-	fg_node_run_done(b->node, b->now, cmd.req, cmd.attempt, &res);
+	fg_node_run_done(fx->node, fx->now, cmd.req, cmd.attempt, &res);
 }
 
-const struct bed_reply *bed_reply(const struct bed *b, uint64_t id)
+const struct nfx_reply *nfx_find_reply(const struct node_fixture *fx,
+				       uint64_t id)
 {
-	const struct bed_reply *found = NULL;
+	const struct nfx_reply *found = NULL;
 
-	for (guint i = 0; i < b->replies->len; i++) {
-		const struct bed_reply *r = g_ptr_array_index(b->replies, i);
+	for (guint i = 0; i < fx->replies->len; i++) {
+		const struct nfx_reply *r = g_ptr_array_index(fx->replies, i);
 
 		if (r->req != id)
 			continue;
@@ -285,28 +289,28 @@
 	return found;
 }
 
-guint bed_sent(const struct bed *b, fg_msg_type type)
+guint nfx_count_sent(const struct node_fixture *fx, fg_msg_type type)
 {
 	guint count = 0;
 
-	for (guint i = 0; i < b->sent->len; i++) {
-		const fg_msg *m = g_ptr_array_index(b->sent, i);
+	for (guint i = 0; i < fx->sent->len; i++) {
+		const fg_msg *m = g_ptr_array_index(fx->sent, i);
 
 		count += m->body.type == type;
 	}
 	return count;
 }
 
-void bed_forget(struct bed *b)
+void nfx_clear_sent(struct node_fixture *fx)
 {
-	g_ptr_array_set_size(b->sent, 0);
+	g_ptr_array_set_size(fx->sent, 0);
 }
 
 /* ---- Life ---- */
 
 static void free_reply(void *arg)
 {
-	struct bed_reply *r = arg;
+	struct nfx_reply *r = arg;
 
 	g_free(r->text);
 	g_free(r->address);
@@ -318,7 +322,7 @@
 	fg_msg_free(msg);
 }
 
-static void make_node(struct bed *b)
+static void make_node(struct node_fixture *fx)
 {
 	struct fg_node_conf conf = { 0 };
 	struct fg_node_io io = {
@@ -332,7 +336,7 @@
 		.send = io_send,
 		.change_answer = io_change_answer,
 		.event = io_event,
-		.arg = b,
+		.arg = fx,
 	};
 	struct fg_listed *self = &conf.member.self;
 
@@ -345,10 +349,10 @@
 	g_strlcpy(self->dc, "north", sizeof(self->dc));
 	self->id = fg_hash_str(self->name);
 	conf.member.boot = 7;
-	b->node = fg_node_new(&conf, &io, 42);
+	fx->node = fg_node_new(&conf, &io, 42);
 }
 
-static void add_catalogue(struct bed *b)
+static void add_catalogue(struct node_fixture *fx)
 {
 	static const char change[] =
 		"{\"kind\":\"batch\",\"changes\":["
@@ -377,51 +381,51 @@
 		"{\"kind\":\"right_grant\",\"adapter\":\"a4\",\"caller\":\"*\"}"
 		"]}";
 
-	fg_node_change(b->node, b->now, 1, change, 0, 5000);
-	bed_run(b, 3000);
-	g_assert_cmpuint(b->accepted, ==, 1);
+	fg_node_change(fx->node, fx->now, 1, change, 0, 5000);
+	nfx_advance(fx, 3000);
+	g_assert_cmpuint(fx->changes_accepted, ==, 1);
 }
 
-struct bed *bed_new(void)
+struct node_fixture *nfx_new(void)
 {
-	struct bed *b = g_new0(struct bed, 1);
-
-	b->table = fake_table_new();
-	b->replies = g_ptr_array_new_with_free_func(free_reply);
-	b->sent = g_ptr_array_new_with_free_func(free_msg);
-	b->runs = g_array_new(FALSE, TRUE, sizeof(struct fg_run_cmd));
-	b->orders = g_array_new(FALSE, TRUE, sizeof(struct fg_order_cmd));
-	b->list = g_array_new(FALSE, TRUE, sizeof(struct fg_listed));
-	b->auto_state = true;
-	b->auto_order = true;
-	b->now = START_MS;
-	make_node(b);
-	bed_list(b, FG_LISTED_ENTRY, "entry-1", false);
-	bed_list(b, FG_LISTED_ENGINE, BED_ENGINE, false);
-	bed_list(b, FG_LISTED_PLAIN, BED_PLAIN, false);
-	bed_run(b, READY_MS);
-	add_catalogue(b);
-	return b;
+	struct node_fixture *fx = g_new0(struct node_fixture, 1);
+
+	fx->table = fake_table_new();
+	fx->replies = g_ptr_array_new_with_free_func(free_reply);
+	fx->sent = g_ptr_array_new_with_free_func(free_msg);
+	fx->runs = g_array_new(FALSE, TRUE, sizeof(struct fg_run_cmd));
+	fx->orders = g_array_new(FALSE, TRUE, sizeof(struct fg_order_cmd));
+	fx->list = g_array_new(FALSE, TRUE, sizeof(struct fg_listed));
+	fx->auto_state = true;
+	fx->auto_order = true;
+	fx->now = START_MS;
+	make_node(fx);
+	nfx_set_listed(fx, FG_LISTED_ENTRY, "entry-1", false);
+	nfx_set_listed(fx, FG_LISTED_ENGINE, NFX_ENGINE, false);
+	nfx_set_listed(fx, FG_LISTED_PLAIN, NFX_PLAIN, false);
+	nfx_advance(fx, READY_MS);
+	add_catalogue(fx);
+	return fx;
 }
 
-void bed_free(struct bed *b)
+void nfx_free(struct node_fixture *fx)
 {
-	fg_node_free(b->node);
-	g_queue_clear_full(&b->ops, (GDestroyNotify)fg_table_op_free);
-	g_ptr_array_free(b->replies, TRUE);
-	g_ptr_array_free(b->sent, TRUE);
-	g_array_free(b->runs, TRUE);
-	for (guint i = 0; i < b->orders->len; i++) {
+	fg_node_free(fx->node);
+	g_queue_clear_full(&fx->ops, (GDestroyNotify)fg_table_op_free);
+	g_ptr_array_free(fx->replies, TRUE);
+	g_ptr_array_free(fx->sent, TRUE);
+	g_array_free(fx->runs, TRUE);
+	for (guint i = 0; i < fx->orders->len; i++) {
 		struct fg_order_cmd *cmd =
-			&g_array_index(b->orders, struct fg_order_cmd, i);
+			&g_array_index(fx->orders, struct fg_order_cmd, i);
 
 		g_free((char *)cmd->order.adapter);
 		g_free((char *)cmd->order.version);
 	}
-	g_array_free(b->orders, TRUE);
-	g_array_free(b->list, TRUE);
-	for (int i = 0; i < BED_SLOTS; i++)
-		g_free(b->adapter[i]);
-	fake_table_free(b->table);
-	g_free(b);
+	g_array_free(fx->orders, TRUE);
+	g_array_free(fx->list, TRUE);
+	for (int i = 0; i < NFX_SLOTS; i++)
+		g_free(fx->adapter[i]);
+	fake_table_free(fx->table);
+	g_free(fx);
 }
