--- a/lib/node/fg_node.c
+++ b/lib/node/fg_node.c
@@ -1,18 +1,18 @@
-/* Life of a node, its clockwork and the events that concern all of it. */
+/* Lifetime and ticks of a node, and events that concern several submodules. */
 #include "node/fg_node_internal.h"
 
 #include <string.h>
 
-#define ANNOUNCE_MS 1000
-#define SWEEP_MS 5000 /* between parts of the ledger swept in a region */
+#define ANNOUNCE_INTERVAL_MS 1000
+#define SWEEP_INTERVAL_MS 5000 /* a region sweeps one part of the ledger */
 #define PEERS_MAX 1024
 
 void fg_node_conf_defaults(struct fg_node_conf *conf)
 {
 	fg_member_conf_defaults(&conf->member);
 	conf->config_poll_ms = 2000;
-	conf->state_ms = 2000;
-	conf->resident_ms = 10000;
+	conf->engine_poll_ms = 2000;
+	conf->resident_repeat_ms = 10000;
 	conf->heat_ms = 1000;
 	conf->grant_repeat_ms = 400;
 	conf->need_repeat_ms = 1000;
@@ -27,14 +27,14 @@
 	g_strlcpy(conf->place_policy, "gauge", sizeof(conf->place_policy));
 }
 
-static void make_parts(struct fg_node *n, uint64_t seed)
+static void create_submodules(struct fg_node *n, uint64_t seed)
 {
 	struct fg_confsync_conf sync = {
 		.poll_ms = n->conf.config_poll_ms,
 		.confirm_ms = n->conf.member.confirm_ms,
 		.snapshot_every = n->conf.snapshot_every,
 	};
-	struct fg_owner_conf own = {
+	struct fg_owner_conf owner = {
 		.self = n->self,
 		.scan_ms = n->conf.member.scan_ms,
 		.retry_ms = 500,
@@ -63,7 +63,7 @@
 	n->config = fg_config_new();
 	n->confsync = fg_confsync_new(n->config, &sync, n->self, seed + 1);
 	n->member = fg_member_new(&n->conf.member, seed + 2);
-	n->owner = fg_owner_new(&own, n->member, seed + 3);
+	n->owner = fg_owner_new(&owner, n->member, seed + 3);
 	n->ledger = fg_ledger_new(&ledger, seed + 4);
 	n->limits = fg_limits_new(n->conf.callers_max);
 	n->estimate = fg_estimate_new();
@@ -72,7 +72,7 @@
 	n->dir = fg_dir_new(seed + 6);
 }
 
-static const char *inst_name(void *arg, uint64_t inst)
+static const char *find_instance_name(void *arg, uint64_t inst)
 {
 	struct fg_node *n = arg;
 	const struct fg_peer_view *peer = fg_member_find(n->member, inst);
@@ -80,7 +80,7 @@
 	return peer != NULL ? peer->info.name : NULL;
 }
 
-static bool inst_is_dead(void *arg, uint64_t inst)
+static bool is_instance_dead(void *arg, uint64_t inst)
 {
 	struct fg_node *n = arg;
 	const struct fg_peer_view *peer = fg_member_find(n->member, inst);
@@ -97,21 +97,21 @@
 	n->io = *io;
 	n->self = conf->member.self.id;
 	fg_rand_seed(&n->rand, seed);
-	make_parts(n, seed);
-	fg_ledger_set_is_dead(n->ledger, inst_is_dead, n);
-	fg_confsync_set_name_fn(n->confsync, inst_name, n);
+	create_submodules(n, seed);
+	fg_ledger_set_is_dead(n->ledger, is_instance_dead, n);
+	fg_confsync_set_name_fn(n->confsync, find_instance_name, n);
 	n->eps = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 				       fg_ep_free);
 	n->reqs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					fg_req_free);
-	n->waits = g_hash_table_new_full(fg_key_hash, g_int64_equal, NULL,
-					 fg_wait_free);
+	n->waiters = g_hash_table_new_full(fg_key_hash, g_int64_equal, NULL,
+					   fg_waiters_free);
 	n->models = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					  fg_model_free);
 	n->ops = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 				       g_free);
-	n->ready = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	n->next_order = 1;
+	n->ready_filings = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	n->next_order_seq = 1;
 	return n;
 }
 
@@ -119,9 +119,9 @@
 {
 	if (n == NULL)
 		return;
-	g_array_free(n->ready, TRUE);
+	g_array_free(n->ready_filings, TRUE);
 	g_queue_clear_full(&n->loopback, (GDestroyNotify)fg_msg_free);
-	g_hash_table_destroy(n->waits);
+	g_hash_table_destroy(n->waiters);
 	g_hash_table_destroy(n->reqs);
 	g_hash_table_destroy(n->eps);
 	g_hash_table_destroy(n->models);
@@ -141,7 +141,7 @@
 
 /* ---- Counters, events and messages ---- */
 
-void fg_node_count(struct fg_node *n, enum fg_node_counter c, uint64_t by)
+void fg_node_add_counter(struct fg_node *n, enum fg_node_counter c, uint64_t by)
 {
 	n->counters[c] += by;
 }
@@ -175,9 +175,9 @@
 	return counter_names[c];
 }
 
-void fg_node_event(struct fg_node *n, const char *name, json_t *fields)
+void fg_node_emit_event(struct fg_node *n, const char *name, json_t *fields)
 {
-	n->io.event(n->io.arg, name, fields);
+	n->io.record_event(n->io.arg, name, fields);
 }
 
 void fg_node_send(struct fg_node *n, uint64_t to, const fg_msg *msg)
@@ -191,19 +191,19 @@
 	peer = fg_member_find(n->member, to);
 	if (peer == NULL || peer->info.rpc[0] == '\0')
 		return;
-	fg_node_count(n, FG_NC_MSGS_OUT, 1);
-	fg_node_count(n, FG_NC_MSG_BYTES_OUT, fg_msg_wire_bytes(msg));
-	n->io.send(n->io.arg, &peer->info, msg);
+	fg_node_add_counter(n, FG_NC_MSGS_OUT, 1);
+	fg_node_add_counter(n, FG_NC_MSG_BYTES_OUT, fg_msg_wire_bytes(msg));
+	n->io.send_msg(n->io.arg, &peer->info, msg);
 }
 
-void fg_node_send_free(struct fg_node *n, uint64_t to, fg_msg *msg)
+void fg_node_send_and_free(struct fg_node *n, uint64_t to, fg_msg *msg)
 {
 	fg_node_send(n, to, msg);
 	fg_msg_free(msg);
 }
 
-/* Takes this instance out of a list of ids. */
-static size_t without_self(const struct fg_node *n, uint64_t *ids, size_t total)
+/* Removes this instance from ids and returns the number that remain. */
+static size_t remove_self(const struct fg_node *n, uint64_t *ids, size_t total)
 {
 	size_t kept = 0;
 
@@ -213,89 +213,89 @@
 	return kept;
 }
 
-size_t fg_node_region_peers(struct fg_node *n, uint64_t *ids, size_t max)
+size_t fg_node_live_peers(struct fg_node *n, uint64_t *ids, size_t max)
 {
 	const char *region = n->conf.member.self.region;
 	size_t total = fg_member_list_live(n->member, region, ids, max);
 
-	return without_self(n, ids, MIN(total, max));
+	return remove_self(n, ids, MIN(total, max));
 }
 
-size_t fg_node_region_present(struct fg_node *n, uint64_t *ids, size_t max)
+size_t fg_node_present_peers(struct fg_node *n, uint64_t *ids, size_t max)
 {
 	const char *region = n->conf.member.self.region;
 	size_t total = fg_member_list_present(n->member, region, ids, max);
 
-	return without_self(n, ids, MIN(total, max));
+	return remove_self(n, ids, MIN(total, max));
 }
 
 void fg_node_broadcast(struct fg_node *n, const fg_msg *msg)
 {
 	uint64_t ids[PEERS_MAX];
-	size_t total = fg_node_region_present(n, ids, PEERS_MAX);
+	size_t total = fg_node_present_peers(n, ids, PEERS_MAX);
 
 	for (size_t i = 0; i < total; i++)
 		fg_node_send(n, ids[i], msg);
 }
 
-static bool standing_is_good(const struct fg_node *n)
+static bool is_standing_good(const struct fg_node *n)
 {
 	return fg_may_act(fg_member_standing(n->member, n->now));
 }
 
 /*
- * An operator is told "accepted" when all live instances have the revision.
- * One that was not counted as live must therefore confirm its revision after
- * it became so, before it takes work. For the same reason it reads the list
- * anew: endpoints may have left while it was away. In an outage there is no
- * list to read.
+ * A change is answered "accepted" once all live instances have the revision.
+ * An instance that was not live then may have missed both the revision and
+ * endpoints that left. After its standing turns good, it therefore takes no
+ * work until its revision is confirmed and the platform's list is read again.
+ * In an outage the list cannot be read and is not required.
  */
-static void follow_standing(struct fg_node *n)
+static void update_standing(struct fg_node *n)
 {
 	bool outage =
 		fg_member_standing(n->member, n->now) == FG_STANDING_OUTAGE;
 	uint32_t age_ms;
 
-	if (!standing_is_good(n)) {
-		n->joined = 0;
+	if (!is_standing_good(n)) {
+		n->joined_at = 0;
 		n->in_force = false;
 		return;
 	}
-	if (n->joined == 0)
-		n->joined = n->now;
-	if (n->list_at < n->joined)
-		fg_node_ask_list(n);
+	if (n->joined_at == 0)
+		n->joined_at = n->now;
+	if (n->list_read_at < n->joined_at)
+		fg_node_request_list(n);
 	age_ms = fg_confsync_confirm_age(n->confsync, n->now);
-	if (n->in_force || n->now - (fg_ms)age_ms < n->joined ||
-	    (!outage && n->list_at < n->joined))
+	if (n->in_force || n->now - (fg_ms)age_ms < n->joined_at ||
+	    (!outage && n->list_read_at < n->joined_at))
 		return;
 	n->in_force = true;
-	fg_wire_revision_event(n);
+	fg_node_emit_revision(n);
 }
 
-void fg_node_ask_list(struct fg_node *n)
+void fg_node_request_list(struct fg_node *n)
 {
 	if (n->list_pending)
 		return;
 	n->list_pending = true;
-	n->list_asked = n->now;
-	n->io.list(n->io.arg);
+	n->list_asked_at = n->now;
+	n->io.read_list(n->io.arg);
 }
 
 bool fg_node_may_serve(struct fg_node *n)
 {
 	if (n->conf.switches.no_isolation)
 		return true;
-	return standing_is_good(n) && n->in_force;
+	return is_standing_good(n) && n->in_force;
 }
 
-/* ---- Clockwork ---- */
+/* ---- Ticks ---- */
 
-static void tell_live(struct fg_node *n)
+static void update_live_peers(struct fg_node *n)
 {
 	uint64_t ids[PEERS_MAX];
 	size_t total = fg_member_list_live(n->member, NULL, ids, PEERS_MAX);
-	size_t kept = without_self(n, ids, MIN(total, PEERS_MAX));
+	size_t kept = remove_self(n, ids, MIN(total, PEERS_MAX));
 
 	fg_confsync_set_live_at(n->confsync, fg_member_scanned_at(n->member),
 				ids, kept);
@@ -303,13 +303,13 @@
 
 static void tick_config(struct fg_node *n)
 {
-	tell_live(n);
-	fg_confsync_tick(n->confsync, n->now, fg_wire_confsync, n);
+	update_live_peers(n);
+	fg_confsync_tick(n->confsync, n->now, fg_node_on_confsync_act, n);
 	fg_member_set_revision(n->member, fg_config_revision(n->config),
 			       fg_confsync_confirm_age(n->confsync, n->now));
 }
 
-static void tick_owned(struct fg_node *n)
+static void tick_owned_engines(struct fg_node *n)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -318,98 +318,99 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct fg_ep *ep = value;
 
-		if (ep->own != NULL)
-			fg_own_tick(n, ep->own);
+		if (ep->owned != NULL)
+			fg_owned_tick(n, ep->owned);
 	}
 }
 
 static void tick_announce(struct fg_node *n)
 {
-	if (n->now < n->announce_next)
+	if (n->now < n->next_announce_at)
 		return;
-	n->announce_next = n->now + ANNOUNCE_MS;
-	n->io.announce(n->io.arg, n->stop_begun != 0);
+	n->next_announce_at = n->now + ANNOUNCE_INTERVAL_MS;
+	n->io.announce(n->io.arg, n->stop_begun_at != 0);
 }
 
-/* One instance of each region deletes ledger rows that are past their time. */
+/* One instance per region deletes ledger rows whose retention has ended. */
 static void tick_sweep(struct fg_node *n)
 {
 	const struct fg_listed *self = &n->conf.member.self;
 	uint64_t key = fg_hash_str("ledger sweep");
 
-	if (n->now < n->sweep_next)
+	if (n->now < n->next_sweep_at)
 		return;
-	n->sweep_next = n->now + SWEEP_MS;
+	n->next_sweep_at = n->now + SWEEP_INTERVAL_MS;
 	if (fg_member_standing(n->member, n->now) == FG_STANDING_CONFIRMED &&
 	    fg_member_candidate(n->member, key, self->region, "") == n->self)
-		fg_ledger_sweep(n->ledger, n->now, fg_wire_ledger, n);
+		fg_ledger_sweep(n->ledger, n->now, fg_node_on_ledger_act, n);
 }
 
-static void tick_second(struct fg_node *n)
+static void tick_each_second(struct fg_node *n)
 {
-	if (n->now < n->second_next)
+	if (n->now < n->next_second_at)
 		return;
-	n->second_next = n->now + FG_MS_PER_S;
+	n->next_second_at = n->now + FG_MS_PER_S;
 	fg_estimate_tick(n->estimate, n->now);
 }
 
 void fg_node_tick(struct fg_node *n, fg_ms now)
 {
 	n->now = now;
-	fg_member_tick(n->member, now, fg_wire_member, n);
+	fg_member_tick(n->member, now, fg_node_on_member_act, n);
 	tick_announce(n);
 	tick_config(n);
-	follow_standing(n);
+	update_standing(n);
 	fg_eps_expire(n);
-	fg_owner_tick(n->owner, now, fg_wire_owner, n);
-	tick_owned(n);
+	fg_owner_tick(n->owner, now, fg_node_on_owner_act, n);
+	tick_owned_engines(n);
 	fg_models_tick(n);
-	fg_waits_tick(n);
+	fg_wait_tick(n);
 	fg_reqs_tick(n);
-	fg_ledger_tick(n->ledger, now, fg_wire_ledger, n);
+	fg_ledger_tick(n->ledger, now, fg_node_on_ledger_act, n);
 	tick_sweep(n);
-	tick_second(n);
+	tick_each_second(n);
 	fg_node_tick_stop(n);
-	fg_node_drain(n);
+	fg_node_run_deferred(n);
 }
 
-/* ---- Events that several parts hear of ---- */
+/* ---- Events for several submodules ---- */
 
-void fg_node_table_done(struct fg_node *n, fg_ms now,
-			const struct fg_table_result *res)
+void fg_node_on_table_done(struct fg_node *n, fg_ms now,
+			   const struct fg_table_result *res)
 {
 	n->now = now;
-	fg_wire_table_done(n, res);
-	fg_node_drain(n);
+	fg_node_pass_table_result(n, res);
+	fg_node_run_deferred(n);
 }
 
-void fg_node_list_done(struct fg_node *n, fg_ms now, enum fg_pf_result result,
-		       const struct fg_listed *list, size_t n_list)
+void fg_node_on_list_done(struct fg_node *n, fg_ms now,
+			  enum fg_pf_result result,
+			  const struct fg_listed *list, size_t n_list)
 {
 	n->now = now;
 	n->list_pending = false;
-	fg_member_on_list(n->member, now, result, list, n_list, fg_wire_member,
-			  n);
+	fg_member_on_list(n->member, now, result, list, n_list,
+			  fg_node_on_member_act, n);
 	if (result != FG_PF_OK)
 		return;
-	n->list_at = n->list_asked;
+	n->list_read_at = n->list_asked_at;
 	for (size_t i = 0; i < n_list; i++)
 		if (list[i].kind != FG_LISTED_ENTRY)
-			fg_ep_listed(n, &list[i]);
-	fg_node_drain(n);
+			fg_ep_on_listed(n, &list[i]);
+	fg_node_run_deferred(n);
 }
 
-void fg_node_change(struct fg_node *n, fg_ms now, uint64_t change_id,
-		    const char *change, uint64_t expect_revision,
-		    uint32_t wait_ms)
+void fg_node_on_change(struct fg_node *n, fg_ms now, uint64_t change_id,
+		       const char *change, uint64_t expect_revision,
+		       uint32_t wait_ms)
 {
 	n->now = now;
-	tell_live(n);
+	update_live_peers(n);
 	n->open_changes++;
 	fg_confsync_submit_change(n->confsync, now, change_id, change,
-				  expect_revision, wait_ms, fg_wire_confsync,
-				  n);
-	fg_node_drain(n);
+				  expect_revision, wait_ms,
+				  fg_node_on_confsync_act, n);
+	fg_node_run_deferred(n);
 }
 
 char *fg_node_catalogue(const struct fg_node *n)
@@ -417,7 +418,7 @@
 	return fg_config_snapshot(n->config);
 }
 
-bool fg_node_suspect_clear(struct fg_node *n, uint64_t fingerprint)
+bool fg_node_clear_suspect(struct fg_node *n, uint64_t fingerprint)
 {
 	fg_msg *msg;
 	fg_suspect *ev;
@@ -428,13 +429,13 @@
 	ev = &msg->body.fg_body_u.suspect;
 	ev->fingerprint = fingerprint;
 	ev->event = FG_SUSPECT_CLEARED;
-	ev->req = fg_hash_mix(n->conf.member.boot, ++n->cleared);
+	ev->req = fg_hash_mix(n->conf.member.boot, ++n->n_cleared);
 	fg_node_broadcast(n, msg);
 	fg_msg_free(msg);
 	return true;
 }
 
-void fg_node_set_wall(struct fg_node *n, int64_t wall_minus_now_ms)
+void fg_node_set_wall_offset(struct fg_node *n, int64_t wall_minus_now_ms)
 {
 	fg_ledger_set_wall_offset(n->ledger, wall_minus_now_ms);
 }
--- a/lib/node/fg_node.h
+++ b/lib/node/fg_node.h
@@ -1,14 +1,16 @@
 /*
- * fg_node - one entry instance: every decision it takes.
+ * fg_node - all decisions of one entry instance.
  *
- * Pure: events and the time go in by function calls, actions come out through
- * the table struct fg_node_io. Nothing here reads a clock, does I/O, takes a
- * lock or starts a thread; calls must not overlap. The runtime (lib/run) feeds
- * a node from sockets, tests and benches feed it directly.
+ * The module does no I/O, reads no clock, takes no lock and starts no thread.
+ * The caller passes each event together with the current time, and the node
+ * acts through the callbacks of struct fg_node_io. Calls on one node must not
+ * overlap. The runtime (lib/run) connects a node to sockets; unit tests call it
+ * directly.
  *
- * What an instance does:
- *   entry   takes requests, finds an endpoint, asks its owner for a grant,
- *           runs the request there and tells the caller the outcome
+ * Roles of an instance:
+ *   entry   accepts requests, finds an endpoint for each, asks the endpoint's
+ *           owner for a grant, runs the request there and reports the outcome
+ *           to the caller
  *   owner   of some endpoints: counts slots, gives grants, orders loads
  *   broker  of a region and base model: spends the weight store's budget
  */
@@ -27,185 +29,228 @@
 #include "peer/fg_msg.h"
 #include "platform/fg_platform.h"
 
-/* Mechanisms that a test may switch off to see what they prevent. */
+/* Safety mechanisms that a test may switch off to show what they prevent. */
 struct fg_node_switches {
-	bool no_ledger;	     /* dispatch filings without a ledger row */
-	bool no_pins;	     /* evict without regard to grants */
-	bool no_leaving;     /* ignore signs of leaving */
-	bool no_drain;	     /* a planned stop does not wait */
-	bool no_check;	     /* pass on answers unchecked */
-	bool no_config_push; /* learn revisions by nothing but polls */
-	bool blind_retry;    /* try again whatever may have run */
-	bool no_intent;	     /* order without an intent */
-	bool no_suspects;    /* never keep a request out */
-	bool no_isolation;   /* serve and give orders in any standing */
-	bool no_fence;	     /* do not wait until the engine knows the fence */
-	bool forget_runs;    /* an attempt of unknown end counts as not run */
+	bool no_ledger;	      /* dispatch filings without a ledger row */
+	bool no_pins;	      /* evict adapters that grants are using */
+	bool no_leaving;      /* ignore reports that an endpoint is leaving */
+	bool no_drain;	      /* a planned stop does not wait for requests */
+	bool no_answer_check; /* pass on answers without checking them */
+	bool no_config_push;  /* learn new revisions only by polling */
+	bool blind_retry;     /* retry without budget or limits, even after an
+			       * attempt that may have run */
+	bool no_intent;	      /* send orders without storing an intent */
+	bool no_suspects;     /* neither hold back nor refuse a suspect */
+	bool no_isolation;    /* serve and send orders in any standing */
+	bool no_fence;	      /* do not wait until the engine knows the fence */
+	bool unknown_as_not_run; /* an attempt with outcome UNKNOWN counts as
+				  * not run */
 };
 
 struct fg_node_conf {
-	struct fg_member_conf member; /* with self */
+	struct fg_member_conf member; /* the caller sets member.self */
 	uint32_t config_poll_ms;
-	uint32_t state_ms;	  /* between reads of an owned engine's state */
-	uint32_t resident_ms;	  /* between repeats of RESIDENT messages */
-	uint32_t heat_ms;	  /* between HEAT reports */
-	uint32_t grant_repeat_ms; /* an unanswered GRANT_REQ is sent again */
+	uint32_t engine_poll_ms;     /* between reads of an owned engine's
+				      * state */
+	uint32_t resident_repeat_ms; /* between repeats of RESIDENT messages */
+	uint32_t heat_ms;	     /* between HEAT reports to the broker */
+	uint32_t grant_repeat_ms;    /* until an unanswered GRANT_REQ is sent
+				      * again */
 	uint32_t need_repeat_ms;
 	uint32_t order_timeout_ms;
 	uint32_t address_ttl_ms;
-	uint32_t requests_max;	  /* in progress here at most */
-	uint32_t callers_max;	  /* whose rate is tracked */
-	uint32_t caller_rate;	  /* requests a second; 0: by preset */
-	uint32_t grant_queue_max; /* asks held per endpoint */
-	uint32_t group_ms;	  /* filings share one write so long */
-	uint32_t snapshot_every;  /* revisions between snapshots */
-	uint32_t drain_max_ms;	  /* a planned stop takes at most this long */
+	uint32_t requests_max;	    /* limit of requests in progress here */
+	uint32_t callers_max;	    /* limit of callers whose rate is tracked */
+	uint32_t caller_rate_per_s; /* requests per caller; 0: the preset's */
+	uint32_t grant_queue_max;   /* grant requests queued per endpoint */
+	uint32_t group_ms;	 /* filings wait this long to share one write */
+	uint32_t snapshot_every; /* revisions between snapshots */
+	uint32_t drain_max_ms;	 /* time limit of a planned stop */
 	char place_policy[FG_NAME_BYTES]; /* "gauge", "strong" or "naive" */
 	struct fg_node_switches switches;
 };
 
-/* Fills the defaults; member.self is left alone. */
+/* Fills in the defaults. member.self is left unchanged. */
 void fg_node_conf_defaults(struct fg_node_conf *conf);
 
-/* ---- What goes in ---- */
+/* ---- Input ---- */
 
-/* A request of a caller. Strings are borrowed for the call. */
+/* A request of a caller. The strings are borrowed for the call. */
 struct fg_request {
 	uint64_t id;	 /* unique in this process */
 	const char *tag; /* the caller's own id; may be "" */
 	enum fg_class cls;
 	const char *caller;
-	const char *adapter; /* models */
-	const char *version; /* models; NULL or "" takes the newest */
-	const char *service; /* plain services */
-	const char *key;     /* filings */
-	const char *body;    /* prompt, or JSON */
+	const char *adapter; /* models only */
+	const char *version; /* models only; NULL or "" selects the newest */
+	const char *service; /* plain services only */
+	const char *key;     /* filings only */
+	const char *body;    /* prompt, or JSON for a plain service */
 	uint32_t max_tokens;
 	uint32_t deadline_ms; /* from now */
 	bool stream;
 };
 
-/* ---- What comes out ---- */
+/* ---- Output ---- */
 
 struct fg_reply {
 	enum fg_outcome outcome;
 	enum fg_reason reason;
-	const char *adapter; /* names as served; NULL if none */
+	const char *adapter; /* the names that were served; NULL if none */
 	const char *version;
-	const char *text; /* answer; NULL unless DONE */
+	const char *text; /* the answer; NULL unless DONE */
 	uint32_t tokens;
 	bool replayed;
 	uint32_t retry_after_ms;
-	const char *address; /* another instance to go to; NULL if none */
+	const char *address; /* of another instance to try; NULL if none */
 };
 
-/* One attempt to run. The runtime passes the result to fg_node_run_done(). */
+/* One attempt of a request. The runtime runs it and passes the result to
+ * fg_node_on_run_done(). */
 struct fg_run_cmd {
 	uint64_t req; /* fg_request.id */
 	uint32_t attempt;
 	struct fg_listed ep;
-	struct fg_run_req run; /* strings valid until run_done */
+	struct fg_run_req run; /* strings valid until fg_node_on_run_done() */
 };
 
 struct fg_order_cmd {
 	struct fg_listed ep;
-	struct fg_order order; /* strings valid during the call alone */
+	struct fg_order order; /* strings valid only during the callback */
 };
 
-/* Actions. None may block or call back into the node. */
+/* Callbacks of the node. None may block or call back into the node. Pointers
+ * are borrowed for the call unless stated otherwise. */
 struct fg_node_io {
+	/* Answers the request `req`. */
 	void (*reply)(void *arg, uint64_t req, const struct fg_reply *reply);
-	void (*run)(void *arg, const struct fg_run_cmd *cmd);
-	void (*order)(void *arg, const struct fg_order_cmd *cmd);
-	void (*state)(void *arg, const struct fg_listed *ep);
-	/* Takes the operation over. */
-	void (*table)(void *arg, struct fg_table_op *op);
-	void (*list)(void *arg);
+
+	/* Starts an attempt; it ends in fg_node_on_run_done(). */
+	void (*start_run)(void *arg, const struct fg_run_cmd *cmd);
+
+	/* Sends an order to an engine; it ends in fg_node_on_order_done(). */
+	void (*send_order)(void *arg, const struct fg_order_cmd *cmd);
+
+	/* Reads an engine's state; it ends in fg_node_on_engine_state(). */
+	void (*read_state)(void *arg, const struct fg_listed *ep);
+
+	/* Runs a table operation and takes ownership of op; it ends in
+	 * fg_node_on_table_done(). */
+	void (*run_table_op)(void *arg, struct fg_table_op *op);
+
+	/* Reads the platform's list; it ends in fg_node_on_list_done(). */
+	void (*read_list)(void *arg);
+
+	/* Announces this instance to the platform. */
 	void (*announce)(void *arg, bool leaving);
-	void (*send)(void *arg, const struct fg_listed *to, const fg_msg *msg);
-	void (*change_answer)(void *arg, uint64_t change_id,
+
+	/* Sends a message to another instance; it may be lost. */
+	void (*send_msg)(void *arg, const struct fg_listed *to,
+			 const fg_msg *msg);
+
+	/* Answers an operator's change. text may be NULL. */
+	void (*answer_change)(void *arg, uint64_t change_id,
 			      enum fg_change_status status, uint64_t revision,
 			      const char *text);
-	/* A change of state, for logs and histories; fields are owned by the
-	 * callee and freed with json_decref(). */
-	void (*event)(void *arg, const char *name, json_t *fields);
+
+	/* Records a state change for logs and histories. The callee owns
+	 * fields and frees it with json_decref(). */
+	void (*record_event)(void *arg, const char *name, json_t *fields);
 	void *arg;
 };
 
-/* ---- Life ---- */
+/* ---- Lifetime ---- */
 
 struct fg_node;
 
-/* Copies conf and io. The seed gives all randomness. */
+/* Copies conf and io. All random choices derive from the seed. */
 struct fg_node *fg_node_new(const struct fg_node_conf *conf,
 			    const struct fg_node_io *io, uint64_t seed);
+
+/* Frees the node; NULL is allowed. */
 void fg_node_free(struct fg_node *n);
 
-/* Call each 10 to 50 ms. */
+/* Runs periodic work. Call every 10 to 50 ms. */
 void fg_node_tick(struct fg_node *n, fg_ms now);
 
 /* ---- Events ---- */
 
-/* Ends in exactly one reply for the id. */
-void fg_node_request(struct fg_node *n, fg_ms now,
-		     const struct fg_request *req);
+/* A request arrived. Exactly one reply follows for its id. */
+void fg_node_on_request(struct fg_node *n, fg_ms now,
+			const struct fg_request *req);
 
-/* The caller of a request went away. */
-void fg_node_caller_gone(struct fg_node *n, fg_ms now, uint64_t req);
+/* The caller of request `req` closed its connection. A filing goes on, any
+ * other request is cancelled. */
+void fg_node_on_caller_gone(struct fg_node *n, fg_ms now, uint64_t req);
 
-void fg_node_run_done(struct fg_node *n, fg_ms now, uint64_t req,
-		      uint32_t attempt, const struct fg_run_result *res);
+/* An attempt ended. Results of any but the latest attempt are ignored. */
+void fg_node_on_run_done(struct fg_node *n, fg_ms now, uint64_t req,
+			 uint32_t attempt, const struct fg_run_result *res);
 
-void fg_node_order_done(struct fg_node *n, fg_ms now, uint64_t ep,
-			uint64_t order_id, enum fg_order_status status);
+/* An order to endpoint `ep` ended. */
+void fg_node_on_order_done(struct fg_node *n, fg_ms now, uint64_t ep,
+			   uint64_t order_id, enum fg_order_status status);
 
-/* st NULL: the engine could not be asked. */
-void fg_node_engine_state(struct fg_node *n, fg_ms now, uint64_t ep,
-			  fg_ms asked_at, const struct fg_engine_state *st);
+/* The state of engine `ep`, requested at asked_at. st is NULL if it could not
+ * be read. */
+void fg_node_on_engine_state(struct fg_node *n, fg_ms now, uint64_t ep,
+			     fg_ms asked_at, const struct fg_engine_state *st);
 
-void fg_node_table_done(struct fg_node *n, fg_ms now,
-			const struct fg_table_result *res);
-void fg_node_list_done(struct fg_node *n, fg_ms now, enum fg_pf_result result,
-		       const struct fg_listed *list, size_t n_list);
-void fg_node_msg(struct fg_node *n, fg_ms now, uint64_t from,
-		 const fg_msg *msg);
+/* A table operation ended; exactly one result for each. */
+void fg_node_on_table_done(struct fg_node *n, fg_ms now,
+			   const struct fg_table_result *res);
 
-/* An operator's change; ends in one change_answer. */
-void fg_node_change(struct fg_node *n, fg_ms now, uint64_t change_id,
-		    const char *change, uint64_t expect_revision,
-		    uint32_t wait_ms);
+/* A read of the platform's list ended. The list is used only if result is
+ * FG_PF_OK. */
+void fg_node_on_list_done(struct fg_node *n, fg_ms now,
+			  enum fg_pf_result result,
+			  const struct fg_listed *list, size_t n_list);
 
-/* Wall-clock time minus `now`, for the stamps of stored rows. Set at the start
- * and when the wall clock was stepped. */
-void fg_node_set_wall(struct fg_node *n, int64_t wall_minus_now_ms);
+/* A message of instance `from` arrived. */
+void fg_node_on_msg(struct fg_node *n, fg_ms now, uint64_t from,
+		    const fg_msg *msg);
+
+/* An operator asked for a change (JSON). Exactly one answer_change callback
+ * follows for change_id. */
+void fg_node_on_change(struct fg_node *n, fg_ms now, uint64_t change_id,
+		       const char *change, uint64_t expect_revision,
+		       uint32_t wait_ms);
+
+/* Sets the offset of the wall clock, that is wall-clock time minus `now`. It
+ * dates stored rows. Call at the start and whenever the wall clock was
+ * stepped. */
+void fg_node_set_wall_offset(struct fg_node *n, int64_t wall_minus_now_ms);
 
 /* ---- Planned stop ---- */
 
-/* No new work from now on. */
+/* Begins a planned stop: new requests are refused from now on. */
 void fg_node_stop(struct fg_node *n, fg_ms now);
 
-/* True when nothing is in progress and ownership is handed over. */
-bool fg_node_stopped(const struct fg_node *n, fg_ms now);
+/* True when the planned stop is complete: nothing is in progress, ownership is
+ * handed over and the lease is given up, or a time limit has passed. */
+bool fg_node_is_stopped(const struct fg_node *n, fg_ms now);
 
-/* ---- Reading ---- */
+/* ---- Queries ---- */
 
-/* Addresses for a caller, best first; up to max. Returns how many. adapter
- * and service may be NULL. */
-size_t fg_node_address(struct fg_node *n, fg_ms now, const char *adapter,
-		       const char *service, char (*out)[FG_ADDR_BYTES],
-		       size_t max);
+/* Writes up to max addresses for a caller to `out`, best first, and returns
+ * their number. adapter may be NULL; service is not used. */
+size_t fg_node_find_addresses(struct fg_node *n, fg_ms now, const char *adapter,
+			      const char *service, char (*out)[FG_ADDR_BYTES],
+			      size_t max);
 
 uint32_t fg_node_address_ttl_ms(const struct fg_node *n);
 
-/* The state dump; the caller frees it with json_decref(). */
+/* Returns the state dump; the caller frees it with json_decref(). */
 json_t *fg_node_dump(struct fg_node *n, fg_ms now);
 
-/* Snapshot of the catalogue; g_malloc'ed. */
+/* Returns a snapshot of the catalogue as JSON; the caller frees it with
+ * g_free(). */
 char *fg_node_catalogue(const struct fg_node *n);
 
-bool fg_node_suspect_clear(struct fg_node *n, uint64_t fingerprint);
+/* Clears a suspect on all instances of the region, for an operator. Returns
+ * false if the fingerprint has no crash to clear. */
+bool fg_node_clear_suspect(struct fg_node *n, uint64_t fingerprint);
 
-/* Counters, in the order of fg_node_counter_name(). */
 enum fg_node_counter {
 	FG_NC_REQUESTS,
 	FG_NC_DONE,
@@ -226,6 +271,8 @@
 	FG_NC_COUNT,
 };
 uint64_t fg_node_counter(const struct fg_node *n, enum fg_node_counter c);
+
+/* Returns the name of a counter in the state dump and in metrics. */
 const char *fg_node_counter_name(enum fg_node_counter c);
 
 #endif
--- a/lib/node/fg_node_address.c
+++ b/lib/node/fg_node_address.c
@@ -1,4 +1,4 @@
-/* The answer to a caller's question which address to use. */
+/* Address lookup: which instances a caller should send its requests to. */
 #include <string.h>
 
 #include "node/fg_node_internal.h"
@@ -12,21 +12,22 @@
 	size_t max;
 };
 
-static const struct fg_listed *info_of(struct fg_node *n, uint64_t inst)
+static const struct fg_listed *find_live_instance(struct fg_node *n,
+						  uint64_t inst)
 {
 	const struct fg_peer_view *peer;
 
 	if (inst == n->self)
-		return n->stop_begun == 0 ? &n->conf.member.self : NULL;
+		return n->stop_begun_at == 0 ? &n->conf.member.self : NULL;
 	peer = fg_member_find(n->member, inst);
 	if (peer == NULL || peer->state != FG_PEER_LIVE)
 		return NULL;
 	return &peer->info;
 }
 
-static void add(struct address_list *list, uint64_t inst)
+static void add_instance(struct address_list *list, uint64_t inst)
 {
-	const struct fg_listed *info = info_of(list->n, inst);
+	const struct fg_listed *info = find_live_instance(list->n, inst);
 
 	if (info == NULL || list->len == list->max)
 		return;
@@ -46,11 +47,13 @@
 		return;
 	fg_owner_get_state(list->n->owner, ep, &owner, NULL);
 	if (owner != 0)
-		add(list, owner);
+		add_instance(list, owner);
 }
 
-/* Owners of endpoints that hold the adapter: their grants cost no message. */
-static void add_owners(struct address_list *list, const char *adapter)
+/* Adds the owners of endpoints that hold the adapter: an owner gives itself a
+ * grant without a message. */
+static void add_owners_of_adapter(struct address_list *list,
+				  const char *adapter)
 {
 	fg_av av = fg_config_find_version(list->n->config, adapter, NULL);
 
@@ -58,9 +61,9 @@
 		fg_dir_for_each_holder(list->n->dir, av, add_owner, list);
 }
 
-/* Others of the region, in an order that differs between keys, so that
- * callers spread over the instances. */
-static void add_spread(struct address_list *list, const char *key)
+/* Adds live instances of the region. The first one depends on the key, which
+ * spreads callers over the instances. */
+static void add_region_instances(struct address_list *list, const char *key)
 {
 	uint64_t ids[256];
 	size_t total = fg_member_list_live(list->n->member,
@@ -74,21 +77,22 @@
 		return;
 	start = seed % total;
 	for (size_t i = 0; i < total && i < CANDIDATES_MAX; i++)
-		add(list, ids[(start + i) % total]);
+		add_instance(list, ids[(start + i) % total]);
 }
 
-size_t fg_node_address(struct fg_node *n, fg_ms now, const char *adapter,
-		       const char *service, char (*out)[FG_ADDR_BYTES],
-		       size_t max)
+size_t fg_node_find_addresses(struct fg_node *n, fg_ms now, const char *adapter,
+			      const char *service, char (*out)[FG_ADDR_BYTES],
+			      size_t max)
 {
 	struct address_list list = { n, out, 0, max };
-	char spread[32];
+	char random_key[32];
 
 	n->now = now;
 	if (adapter != NULL)
-		add_owners(&list, adapter);
-	g_snprintf(spread, sizeof(spread), "%" PRIx64, fg_rand_next(&n->rand));
-	add_spread(&list, adapter != NULL ? adapter : spread);
+		add_owners_of_adapter(&list, adapter);
+	g_snprintf(random_key, sizeof(random_key), "%" PRIx64,
+		   fg_rand_next(&n->rand));
+	add_region_instances(&list, adapter != NULL ? adapter : random_key);
 	(void)service;
 	return list.len;
 }
--- a/lib/node/fg_node_broker.c
+++ b/lib/node/fg_node_broker.c
@@ -1,4 +1,4 @@
-/* The broker role, and what a router tells the broker of its region. */
+/* The broker role, and what other instances send to a broker. */
 #include <string.h>
 
 #include "node/fg_node_internal.h"
@@ -9,24 +9,25 @@
 
 	fg_broker_free(m->broker);
 	fg_broker_free(m->fallback);
-	g_hash_table_destroy(m->heat);
+	g_hash_table_destroy(m->arrivals);
 	g_free(m->service);
 	g_free(m);
 }
 
-/* ---- Making brokers ---- */
+/* ---- Brokers of a region and base model ---- */
 
-static struct fg_broker *make_broker(struct fg_node *n,
-				     const struct fg_model *m, uint64_t fence,
-				     uint32_t share)
+/* `sharers` is the number of brokers that split the weight store's budget. */
+static struct fg_broker *create_broker(struct fg_node *n,
+				       const struct fg_model *m, uint64_t fence,
+				       uint32_t sharers)
 {
-	const struct fg_service *facts =
+	const struct fg_service *service =
 		fg_config_service(n->config, m->service);
 	struct fg_broker_conf conf = {
 		.fence = fence,
-		.loads_per_s = MAX(facts->loads_per_s / share, 1),
-		.in_flight_max = MAX(facts->loads_in_flight / share, 1),
-		.load_ms = facts->load_ms,
+		.loads_per_s = MAX(service->loads_per_s / sharers, 1),
+		.in_flight_max = MAX(service->loads_in_flight / sharers, 1),
+		.load_ms = service->load_ms,
 		.order_timeout_ms = n->conf.order_timeout_ms,
 		.stall_weight = fg_config_preset(n->config)->stall_weight,
 	};
@@ -41,20 +42,21 @@
 	return broker;
 }
 
-/* Instances that share the weight store's budget while there is no broker. */
-static uint32_t budget_share(struct fg_node *n)
+/* While there is no broker, each instance of the region uses a fallback broker
+ * with an equal share of the weight store's budget. */
+static uint32_t count_budget_sharers(struct fg_node *n)
 {
 	uint64_t ids[1024];
-	size_t total = fg_node_region_peers(n, ids, G_N_ELEMENTS(ids));
+	size_t total = fg_node_live_peers(n, ids, G_N_ELEMENTS(ids));
 
 	return (uint32_t)total + 1;
 }
 
-/* The own region if it has engines for the service, else the first by name
- * that has. */
+/* Chooses the own region if it has engines for the service, otherwise the first
+ * region by name that has some. */
 static void choose_region(struct fg_node *n, struct fg_model *m)
 {
-	const char *own = n->conf.member.self.region;
+	const char *own_region = n->conf.member.self.region;
 	const char *best = NULL;
 	GHashTableIter it;
 	gpointer value;
@@ -66,15 +68,16 @@
 		if (ep->info.kind != FG_LISTED_ENGINE || ep->leaving ||
 		    strcmp(ep->info.service, m->service) != 0)
 			continue;
-		if (best == NULL || strcmp(ep->info.region, own) == 0 ||
-		    (strcmp(best, own) != 0 &&
+		if (best == NULL || strcmp(ep->info.region, own_region) == 0 ||
+		    (strcmp(best, own_region) != 0 &&
 		     strcmp(ep->info.region, best) < 0))
 			best = ep->info.region;
 	}
-	g_strlcpy(m->region, best != NULL ? best : own, sizeof(m->region));
+	g_strlcpy(m->region, best != NULL ? best : own_region,
+		  sizeof(m->region));
 }
 
-static uint64_t broker_key(const struct fg_model *m)
+static uint64_t make_broker_key(const struct fg_model *m)
 {
 	char name[2 * FG_NAME_BYTES + 16];
 
@@ -82,12 +85,12 @@
 	return fg_hash_str(name);
 }
 
-static void follow_region(struct fg_node *n, struct fg_model *m)
+static void update_region(struct fg_node *n, struct fg_model *m)
 {
 	uint64_t key;
 
 	choose_region(n, m);
-	key = broker_key(m);
+	key = make_broker_key(m);
 	if (key == m->broker_key)
 		return;
 	g_clear_pointer(&m->broker, fg_broker_free);
@@ -105,14 +108,14 @@
 		return m;
 	m = g_new0(struct fg_model, 1);
 	m->service = g_strdup(service);
-	m->heat = g_hash_table_new_full(fg_key_hash, g_int64_equal, g_free,
-					g_free);
+	m->arrivals = g_hash_table_new_full(fg_key_hash, g_int64_equal, g_free,
+					    g_free);
 	g_hash_table_insert(n->models, m->service, m);
-	follow_region(n, m);
+	update_region(n, m);
 	return m;
 }
 
-static struct fg_model *model_of_key(struct fg_node *n, uint64_t key)
+static struct fg_model *find_model_by_key(struct fg_node *n, uint64_t key)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -127,24 +130,24 @@
 	return NULL;
 }
 
-bool fg_model_gained(struct fg_node *n, uint64_t key, uint64_t fence)
+bool fg_model_on_key_gained(struct fg_node *n, uint64_t key, uint64_t fence)
 {
-	struct fg_model *m = model_of_key(n, key);
+	struct fg_model *m = find_model_by_key(n, key);
 
 	if (m == NULL)
 		return false;
 	fg_broker_free(m->broker);
-	m->broker = make_broker(n, m, fence, 1);
-	fg_node_event(n, "broker",
-		      json_pack("{s:s,s:s,s:I}", "service", m->service,
-				"region", m->region, "fence",
-				(json_int_t)fence));
+	m->broker = create_broker(n, m, fence, 1);
+	fg_node_emit_event(n, "broker",
+			   json_pack("{s:s,s:s,s:I}", "service", m->service,
+				     "region", m->region, "fence",
+				     (json_int_t)fence));
 	return true;
 }
 
-bool fg_model_lost(struct fg_node *n, uint64_t key)
+bool fg_model_on_key_lost(struct fg_node *n, uint64_t key)
 {
-	struct fg_model *m = model_of_key(n, key);
+	struct fg_model *m = find_model_by_key(n, key);
 
 	if (m == NULL)
 		return false;
@@ -152,15 +155,16 @@
 	return true;
 }
 
-static void set_facts(struct fg_broker *b, const struct fg_service *facts,
-		      const struct fg_preset *preset)
+static void apply_settings(struct fg_broker *b,
+			   const struct fg_service *service,
+			   const struct fg_preset *preset)
 {
-	fg_broker_set_limits(b, facts->loads_per_s, facts->loads_in_flight,
-			     facts->load_ms, preset->stall_weight);
+	fg_broker_set_limits(b, service->loads_per_s, service->loads_in_flight,
+			     service->load_ms, preset->stall_weight);
 	fg_broker_set_hold_max(b, preset->hold_max_ms);
 }
 
-void fg_models_config(struct fg_node *n)
+void fg_models_apply_config(struct fg_node *n)
 {
 	const struct fg_preset *preset = fg_config_preset(n->config);
 	GHashTableIter it;
@@ -169,16 +173,16 @@
 	g_hash_table_iter_init(&it, n->models);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct fg_model *m = value;
-		const struct fg_service *facts =
+		const struct fg_service *service =
 			fg_config_service(n->config, m->service);
 
 		if (m->broker != NULL)
-			set_facts(m->broker, facts, preset);
+			apply_settings(m->broker, service, preset);
 		g_clear_pointer(&m->fallback, fg_broker_free);
 	}
 }
 
-void fg_models_peer_gone(struct fg_node *n, uint64_t id)
+void fg_models_on_peer_dead(struct fg_node *n, uint64_t id)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -194,7 +198,7 @@
 
 /* ---- Needs ---- */
 
-static uint64_t broker_of(struct fg_node *n, const struct fg_model *m)
+static uint64_t find_broker(struct fg_node *n, const struct fg_model *m)
 {
 	const struct fg_peer_view *peer;
 	uint64_t owner = 0;
@@ -208,61 +212,62 @@
 	return owner;
 }
 
-void fg_model_need(struct fg_node *n, uint64_t from, const fg_need *need,
-		   const char *service)
+void fg_model_send_need(struct fg_node *n, uint64_t from, const fg_need *need,
+			const char *service)
 {
 	struct fg_model *m = fg_model_get(n, service);
-	uint64_t broker = broker_of(n, m);
+	uint64_t broker = find_broker(n, m);
 	fg_msg *msg;
 
 	if (broker != 0) {
 		msg = fg_msg_new(FG_MSG_NEED);
 		msg->body.fg_body_u.need = *need;
-		fg_node_send_free(n, broker, msg);
+		fg_node_send_and_free(n, broker, msg);
 		return;
 	}
-	/* No broker is known: load within this instance's share. */
+
 	if (m->fallback == NULL)
-		m->fallback = make_broker(n, m, 0, budget_share(n));
+		m->fallback = create_broker(n, m, 0, count_budget_sharers(n));
 	fg_broker_on_need(m->fallback, n->now, from, need);
 }
 
-static struct fg_model *model_of_av(struct fg_node *n, fg_av av)
+static struct fg_model *find_model_by_av(struct fg_node *n, fg_av av)
 {
 	const char *base = fg_config_adapter_base(n->config, av);
 
 	return base != NULL ? fg_model_get(n, base) : NULL;
 }
 
-void fg_model_msg_need(struct fg_node *n, uint64_t from, const fg_need *need)
+void fg_model_on_need(struct fg_node *n, uint64_t from, const fg_need *need)
 {
-	struct fg_model *m = model_of_av(n, need->av);
+	struct fg_model *m = find_model_by_av(n, need->av);
 
 	if (m == NULL || m->broker == NULL)
 		return;
 	fg_broker_on_need(m->broker, n->now, from, need);
 }
 
-/* ---- Heat ---- */
+/* ---- Arrival counts, reported to the broker in HEAT messages ---- */
 
-void fg_model_heat(struct fg_node *n, const char *service, fg_av av)
+void fg_model_count_arrival(struct fg_node *n, const char *service, fg_av av)
 {
 	struct fg_model *m = fg_model_get(n, service);
 	uint64_t key = fg_av_key(av);
-	uint32_t *count = g_hash_table_lookup(m->heat, &key);
+	uint32_t *count = g_hash_table_lookup(m->arrivals, &key);
 
 	if (count == NULL) {
-		uint64_t *own_key = g_new(uint64_t, 1);
+		uint64_t *stored_key = g_new(uint64_t, 1);
 
-		*own_key = key;
+		*stored_key = key;
 		count = g_new0(uint32_t, 1);
-		g_hash_table_insert(m->heat, own_key, count);
+		g_hash_table_insert(m->arrivals, stored_key, count);
 	}
 	(*count)++;
 }
 
-/* Moves up to FG_LIST_MAX counts into a message; the rest go next time. */
-static fg_msg *take_heat(struct fg_model *m)
+/* Moves up to FG_LIST_MAX counts into a message. The next report takes the
+ * others. */
+static fg_msg *take_arrivals(struct fg_model *m)
 {
 	fg_msg *msg = fg_msg_new(FG_MSG_HEAT);
 	fg_heat *heat = &msg->body.fg_body_u.heat;
@@ -272,7 +277,7 @@
 
 	heat->seq = ++m->heat_seq;
 	heat->items.items_val = calloc(FG_LIST_MAX, sizeof(fg_heat_item));
-	g_hash_table_iter_init(&it, m->heat);
+	g_hash_table_iter_init(&it, m->arrivals);
 	while (heat->items.items_len < FG_LIST_MAX &&
 	       g_hash_table_iter_next(&it, &key, &count)) {
 		fg_heat_item *item =
@@ -286,14 +291,14 @@
 	return msg;
 }
 
-static void send_heat(struct fg_node *n, struct fg_model *m)
+static void send_arrivals(struct fg_node *n, struct fg_model *m)
 {
-	uint64_t broker = broker_of(n, m);
+	uint64_t broker = find_broker(n, m);
 	fg_msg *msg;
 
-	if (g_hash_table_size(m->heat) == 0)
+	if (g_hash_table_size(m->arrivals) == 0)
 		return;
-	msg = take_heat(m);
+	msg = take_arrivals(m);
 	if (broker != 0)
 		fg_node_send(n, broker, msg);
 	else if (m->fallback != NULL)
@@ -302,25 +307,27 @@
 	fg_msg_free(msg);
 }
 
-void fg_model_msg_heat(struct fg_node *n, const fg_heat *heat)
+void fg_model_on_heat(struct fg_node *n, const fg_heat *heat)
 {
 	struct fg_model *m;
 
 	if (heat->items.items_len == 0)
 		return;
-	m = model_of_av(n, heat->items.items_val[0].av);
+	m = find_model_by_av(n, heat->items.items_val[0].av);
 	if (m != NULL && m->broker != NULL)
 		fg_broker_on_heat(m->broker, n->now, heat);
 }
 
-/* ---- Orders ---- */
+/* ---- PLACE orders ---- */
 
-struct emit_arg {
+struct emit_ctx {
 	struct fg_node *n;
 	struct fg_broker *broker;
 };
 
-static void refuse_place(struct fg_broker *broker, fg_ms now,
+/* Tells the broker that its order cannot be sent: the endpoint has no known
+ * owner. */
+static void refuse_order(struct fg_broker *broker, fg_ms now,
 			 const fg_place *place)
 {
 	fg_place_rep rep = {
@@ -333,39 +340,41 @@
 	fg_broker_on_reply(broker, now, &rep);
 }
 
-static void emit_place(void *arg, const fg_place *place)
+static void send_place(void *arg, const fg_place *place)
 {
-	struct emit_arg *e = arg;
+	struct emit_ctx *e = arg;
 	uint64_t owner = 0;
 	fg_msg *msg;
 
 	fg_owner_get_state(e->n->owner, place->ep, &owner, NULL);
 	if (owner == 0) {
-		refuse_place(e->broker, e->n->now, place);
+		refuse_order(e->broker, e->n->now, place);
 		return;
 	}
 	msg = fg_msg_new(FG_MSG_PLACE);
 	msg->body.fg_body_u.place = *place;
-	fg_node_send_free(e->n, owner, msg);
+	fg_node_send_and_free(e->n, owner, msg);
 }
 
-/* The broker cannot meet a need in time: its router refuses what waits. */
-static void emit_refusal(void *arg, uint64_t to, const fg_place_rep *rep)
+/* The broker cannot meet a need in time. The instance that announced the need
+ * answers the requests concerned. */
+static void send_refusal(void *arg, uint64_t to, const fg_place_rep *rep)
 {
-	struct emit_arg *e = arg;
+	struct emit_ctx *e = arg;
 	fg_msg *msg = fg_msg_new(FG_MSG_PLACE_REP);
 
 	msg->body.fg_body_u.place_rep = *rep;
-	fg_node_send_free(e->n, to, msg);
+	fg_node_send_and_free(e->n, to, msg);
 }
 
-/* Replies name the order alone; each broker ignores ids not its own. */
-void fg_model_place_rep(struct fg_node *n, const fg_place_rep *rep)
+/* A reply does not say which broker sent the order. Each broker ignores order
+ * ids that are not its own. */
+void fg_model_on_place_rep(struct fg_node *n, const fg_place_rep *rep)
 {
-	struct fg_model *m = model_of_av(n, rep->av);
+	struct fg_model *m = find_model_by_av(n, rep->av);
 
 	if (rep->order == 0) {
-		fg_wait_refused(n, rep->av);
+		fg_wait_on_refused(n, rep->av);
 		return;
 	}
 	if (m == NULL)
@@ -378,33 +387,33 @@
 
 static void tick_broker(struct fg_node *n, struct fg_broker *broker)
 {
-	struct emit_arg e = { n, broker };
+	struct emit_ctx e = { n, broker };
 
 	if (broker == NULL || !fg_node_may_serve(n))
 		return;
-	fg_broker_refuse_needs(broker, n->now, emit_refusal, &e);
-	fg_broker_tick(broker, n->now, emit_place, &e);
+	fg_broker_refuse_needs(broker, n->now, send_refusal, &e);
+	fg_broker_tick(broker, n->now, send_place, &e);
 }
 
 static void tick_model(struct fg_node *n, struct fg_model *m, bool heat_due)
 {
-	follow_region(n, m);
+	update_region(n, m);
 	if (heat_due)
-		send_heat(n, m);
+		send_arrivals(n, m);
 	tick_broker(n, m->broker);
-	if (m->fallback != NULL && broker_of(n, m) != 0)
+	if (m->fallback != NULL && find_broker(n, m) != 0)
 		g_clear_pointer(&m->fallback, fg_broker_free);
 	tick_broker(n, m->fallback);
 }
 
 void fg_models_tick(struct fg_node *n)
 {
-	bool heat_due = n->now >= n->heat_next;
+	bool heat_due = n->now >= n->next_heat_at;
 	GHashTableIter it;
 	gpointer value;
 
 	if (heat_due)
-		n->heat_next = n->now + n->conf.heat_ms;
+		n->next_heat_at = n->now + n->conf.heat_ms;
 	g_hash_table_iter_init(&it, n->models);
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		tick_model(n, value, heat_due);
--- a/lib/node/fg_node_dump.c
+++ b/lib/node/fg_node_dump.c
@@ -1,4 +1,4 @@
-/* The state dump: everything an operator may have to look at. */
+/* The state dump for operators. */
 #include "node/fg_node_internal.h"
 
 #define LIST_MAX 256
@@ -30,7 +30,7 @@
 	return out;
 }
 
-static json_t *dump_slot(struct fg_node *n, const struct fg_own *own,
+static json_t *dump_slot(struct fg_node *n, const struct fg_owned_engine *owned,
 			 uint32_t slot)
 {
 	static const char *const states[] = {
@@ -39,7 +39,7 @@
 		[FG_SLOT_READY] = "ready",
 		[FG_SLOT_TAINTED] = "tainted",
 	};
-	struct fg_slot_view v = fg_grants_view_slot(own->grants, slot);
+	struct fg_slot_view v = fg_grants_view_slot(owned->grants, slot);
 	const char *adapter = fg_config_adapter_name(n->config, v.av);
 	const char *ver = fg_config_version_name(n->config, v.av);
 
@@ -48,22 +48,25 @@
 			 ver != NULL ? ver : "", "pins", (int)v.pins);
 }
 
-static json_t *dump_own(struct fg_node *n, const struct fg_own *own)
+static json_t *dump_owned(struct fg_node *n,
+			  const struct fg_owned_engine *owned)
 {
-	json_t *out = json_pack("{s:I}", "fence", (json_int_t)own->fence);
+	json_t *out = json_pack("{s:I}", "fence", (json_int_t)owned->fence);
 	json_t *slots = json_array();
 
-	if (own->grants != NULL) {
-		for (uint32_t i = 0; i < fg_grants_slot_count(own->grants); i++)
-			json_array_append_new(slots, dump_slot(n, own, i));
+	if (owned->grants != NULL) {
+		for (uint32_t i = 0; i < fg_grants_slot_count(owned->grants);
+		     i++)
+			json_array_append_new(slots, dump_slot(n, owned, i));
 		json_object_set_new(
 			out, "grants",
-			json_integer(fg_grants_in_use(own->grants)));
-		json_object_set_new(out, "held",
-				    json_integer(fg_grants_held(own->grants)));
+			json_integer(fg_grants_in_use(owned->grants)));
+		json_object_set_new(
+			out, "held",
+			json_integer(fg_grants_held(owned->grants)));
 		json_object_set_new(out, "recovering",
 				    json_boolean(fg_grants_is_recovering(
-					    own->grants, n->now)));
+					    owned->grants, n->now)));
 	}
 	json_object_set_new(out, "slots", slots);
 	return out;
@@ -99,12 +102,12 @@
 				  ep->info.name, "addr", ep->info.addr,
 				  "service", ep->info.service, "region",
 				  ep->info.region, "leaving", ep->leaving,
-				  "sent", (int)ep->sent, "owner",
+				  "sent", (int)ep->in_flight, "owner",
 				  owner_name(n, owner), "fence",
 				  (json_int_t)fence));
-		if (ep->own != NULL)
+		if (ep->owned != NULL)
 			json_object_set_new(owned, ep->info.name,
-					    dump_own(n, ep->own));
+					    dump_owned(n, ep->owned));
 	}
 	json_object_set_new(out, "endpoints", all);
 	json_object_set_new(out, "owned", owned);
@@ -212,7 +215,7 @@
 		self->name, "region", self->region, "dc", self->dc, "addr",
 		self->addr, "standing",
 		fg_standing_name(fg_member_standing(n->member, now)), "serving",
-		fg_node_may_serve(n), "stopping", n->stop_begun != 0,
+		fg_node_may_serve(n), "stopping", n->stop_begun_at != 0,
 		"revision", (json_int_t)fg_config_revision(n->config),
 		"confirm_age_ms",
 		(int)MIN(fg_confsync_confirm_age(n->confsync, now), INT32_MAX),
--- a/lib/node/fg_node_eps.c
+++ b/lib/node/fg_node_eps.c
@@ -1,13 +1,17 @@
-/* Endpoints: what the list shows, leaving, and the choice of a plain one. */
+/* Known endpoints: additions, leaving, expiry, choice for plain services. */
 #include <string.h>
 
 #include "node/fg_node_internal.h"
 
+/* Weights above any number of attempts in flight; avoided outweighs remote. */
+#define RANK_REMOTE 1000000
+#define RANK_AVOIDED 2000000
+
 void fg_ep_free(void *arg)
 {
 	struct fg_ep *ep = arg;
 
-	fg_own_free(ep->own);
+	fg_owned_free(ep->owned);
 	g_free(ep);
 }
 
@@ -16,7 +20,7 @@
 	return g_hash_table_lookup(n->eps, &id);
 }
 
-static void tell_leaving(struct fg_node *n, uint64_t id)
+static void broadcast_leaving(struct fg_node *n, uint64_t id)
 {
 	fg_msg *msg = fg_msg_new(FG_MSG_LEAVING);
 
@@ -25,7 +29,8 @@
 	fg_msg_free(msg);
 }
 
-static void update_dir(struct fg_node *n, const struct fg_ep *ep)
+/* Passes an engine's facts to the directory and to the ownership module. */
+static void update_routing(struct fg_node *n, const struct fg_ep *ep)
 {
 	if (ep->info.kind != FG_LISTED_ENGINE)
 		return;
@@ -35,17 +40,18 @@
 			 ep->leaving);
 }
 
-void fg_ep_leaving(struct fg_node *n, struct fg_ep *ep, bool tell)
+void fg_ep_set_leaving(struct fg_node *n, struct fg_ep *ep, bool tell)
 {
 	if (ep->leaving || n->conf.switches.no_leaving)
 		return;
 	ep->leaving = true;
-	update_dir(n, ep);
-	if (ep->own != NULL)
-		fg_own_leave(n, ep->own);
-	fg_node_event(n, "ep_leaving", json_pack("{s:s}", "ep", ep->info.name));
+	update_routing(n, ep);
+	if (ep->owned != NULL)
+		fg_owned_on_leaving(n, ep->owned);
+	fg_node_emit_event(n, "ep_leaving",
+			   json_pack("{s:s}", "ep", ep->info.name));
 	if (tell)
-		tell_leaving(n, ep->id);
+		broadcast_leaving(n, ep->id);
 }
 
 static struct fg_ep *add_ep(struct fg_node *n, const struct fg_listed *info)
@@ -57,11 +63,11 @@
 	g_hash_table_insert(n->eps, &ep->id, ep);
 	if (info->kind == FG_LISTED_ENGINE)
 		fg_model_get(n, info->service);
-	update_dir(n, ep);
+	update_routing(n, ep);
 	return ep;
 }
 
-void fg_ep_listed(struct fg_node *n, const struct fg_listed *info)
+void fg_ep_on_listed(struct fg_node *n, const struct fg_listed *info)
 {
 	struct fg_ep *ep = fg_ep_find(n, info->id);
 
@@ -69,36 +75,34 @@
 		ep = add_ep(n, info);
 	ep->listed_at = n->now;
 	if (info->leaving)
-		fg_ep_leaving(n, ep, true);
+		fg_ep_set_leaving(n, ep, true);
 }
 
-static bool is_gone(gpointer key, gpointer value, gpointer arg)
+static bool expire_ep(gpointer key, gpointer value, gpointer arg)
 {
 	struct fg_node *n = arg;
 	struct fg_ep *ep = value;
 
 	(void)key;
-	if (n->now - ep->listed_at < FG_EP_GONE_MS || ep->sent > 0)
+	if (n->now - ep->listed_at < FG_EP_EXPIRE_MS || ep->in_flight > 0)
 		return false;
 	fg_dir_remove_endpoint(n->dir, ep->id);
-	fg_owner_remove_key(n->owner, n->now, ep->id, fg_wire_owner, n);
+	fg_owner_remove_key(n->owner, n->now, ep->id, fg_node_on_owner_act, n);
 	return true;
 }
 
-static gboolean remove_if_gone(gpointer key, gpointer value, gpointer arg)
+static gboolean remove_if_expired(gpointer key, gpointer value, gpointer arg)
 {
-	return is_gone(key, value, arg);
+	return expire_ep(key, value, arg);
 }
 
-/*
- * While the platform cannot be asked, nothing is forgotten: the list's
- * silence then says nothing about the endpoints.
- */
+/* Nothing expires while the platform is unreachable: an endpoint may be missing
+ * from the list only because the list could not be read. */
 void fg_eps_expire(struct fg_node *n)
 {
 	if (fg_member_standing(n->member, n->now) != FG_STANDING_CONFIRMED)
 		return;
-	g_hash_table_foreach_remove(n->eps, remove_if_gone, n);
+	g_hash_table_foreach_remove(n->eps, remove_if_expired, n);
 }
 
 static bool is_avoided(const struct fg_req *r, uint64_t ep)
@@ -109,15 +113,16 @@
 	return false;
 }
 
-/* Lower is better: own region first, then not avoided, then least loaded. */
-static uint64_t plain_rank(const struct fg_node *n, const struct fg_req *r,
+/* Lower is better: not avoided first, then own region, then fewest attempts in
+ * flight. */
+static uint64_t rank_plain(const struct fg_node *n, const struct fg_req *r,
 			   const struct fg_ep *ep)
 {
 	bool remote = strcmp(ep->info.region, n->conf.member.self.region) != 0;
-	uint64_t rank = ep->sent;
+	uint64_t rank = ep->in_flight;
 
-	rank += remote ? 1000000 : 0;
-	rank += is_avoided(r, ep->id) ? 2000000 : 0;
+	rank += remote ? RANK_REMOTE : 0;
+	rank += is_avoided(r, ep->id) ? RANK_AVOIDED : 0;
 	return rank;
 }
 
@@ -137,7 +142,7 @@
 		    n->now < ep->down_until ||
 		    strcmp(ep->info.service, r->service) != 0)
 			continue;
-		rank = plain_rank(n, r, ep);
+		rank = rank_plain(n, r, ep);
 		if (rank < best_rank ||
 		    (rank == best_rank && best != NULL && ep->id < best->id)) {
 			best = ep;
--- a/lib/node/fg_node_result.c
+++ b/lib/node/fg_node_result.c
@@ -1,16 +1,18 @@
-/* What becomes of an attempt: answer, another attempt, or the end. */
+/* Result of an attempt: reply, retry or failure. */
 #include "node/fg_node_internal.h"
 
 #define RETRY_AFTER_MS 1000
 
-struct verdict {
+/* What a run status means for the request. Outcome and reason apply if the
+ * request is not retried. */
+struct run_effect {
 	enum fg_outcome outcome;
 	enum fg_reason reason;
-	bool crashed; /* the endpoint may have died under it */
+	bool crashed; /* the endpoint may have crashed while it ran */
 	bool may_retry;
 };
 
-static const struct verdict verdicts[] = {
+static const struct run_effect run_effects[] = {
 	[FG_RUN_DONE] = { FG_DONE, FG_R_NONE, false, false },
 	[FG_RUN_NOT_SENT] = { FG_NOT_RUN, FG_R_NO_ENDPOINT, false, true },
 	[FG_RUN_REFUSED] = { FG_NOT_RUN, FG_R_OVERLOAD, false, true },
@@ -22,43 +24,44 @@
 	[FG_RUN_CANCELLED] = { FG_UNKNOWN, FG_R_CANCELLED, false, false },
 };
 
-/* An endpoint that refuses connections rests for a while. */
-static void note_endpoint(struct fg_node *n, struct fg_ep *ep,
-			  const struct fg_run_result *res)
+static void update_endpoint(struct fg_node *n, struct fg_ep *ep,
+			    const struct fg_run_result *res)
 {
 	if (ep == NULL)
 		return;
-	ep->sent--;
+	ep->in_flight--;
 	if (res->status == FG_RUN_NOT_SENT)
-		ep->down_until = n->now + FG_EP_DOWN_MS;
-	if (res->status == FG_RUN_NOT_LOADED && ep->own != NULL)
-		ep->own->state_next = n->now;
+		ep->down_until = n->now + FG_EP_COOLDOWN_MS;
+	if (res->status == FG_RUN_NOT_LOADED && ep->owned != NULL)
+		ep->owned->next_state_at = n->now;
 	if (res->leaving)
-		fg_ep_leaving(n, ep, true);
+		fg_ep_set_leaving(n, ep, true);
 }
 
-static bool try_again(struct fg_node *n, struct fg_req *r,
-		      const struct fg_run_result *res, const struct verdict *v)
+static bool retry_if_allowed(struct fg_node *n, struct fg_req *r,
+			     const struct fg_run_result *res,
+			     const struct run_effect *effect)
 {
 	uint32_t backoff_ms = 0;
 	bool ran = !res->not_run;
 
-	if (!v->may_retry || r->caller_gone)
+	if (!effect->may_retry || r->caller_gone)
 		return false;
-	/* Pieces of a stream are with the caller: attempts are not spliced. */
+	/* Once the caller has pieces of one attempt's stream, no other attempt
+	 * may continue it. */
 	if (!n->conf.switches.blind_retry && r->stream && res->n_pieces > 0)
 		return false;
 	if (!n->conf.switches.blind_retry &&
 	    !fg_retry_take(n->retry, n->now, r->cls, r->attempts,
 			   fg_req_left_ms(n, r), ran, &backoff_ms))
 		return false;
-	fg_route_avoid(r, r->ep);
-	fg_node_count(n, FG_NC_RETRIES, 1);
+	fg_route_avoid_ep(r, r->ep);
+	fg_node_add_counter(n, FG_NC_RETRIES, 1);
 	fg_route_back_off(n, r, backoff_ms);
 	return true;
 }
 
-static void answer_done(struct fg_node *n, struct fg_req *r,
+static void finish_done(struct fg_node *n, struct fg_req *r,
 			const struct fg_run_result *res)
 {
 	struct fg_reply reply = {
@@ -74,35 +77,37 @@
 	}
 	r->state = FG_REQ_FINISHING;
 	fg_ledger_record_outcome(n->ledger, n->now, r->id, FG_DONE, FG_R_NONE,
-				 res->text, fg_wire_ledger, n);
+				 res->text, fg_node_on_ledger_act, n);
 }
 
-static enum fg_outcome final_outcome(const struct fg_node *n,
-				     const struct verdict *v)
+static enum fg_outcome failure_outcome(const struct fg_node *n,
+				       const struct run_effect *effect)
 {
-	if (n->conf.switches.forget_runs && v->outcome == FG_UNKNOWN)
+	if (n->conf.switches.unknown_as_not_run &&
+	    effect->outcome == FG_UNKNOWN)
 		return FG_NOT_RUN;
-	return v->outcome;
+	return effect->outcome;
 }
 
-void fg_node_run_done(struct fg_node *n, fg_ms now, uint64_t id,
-		      uint32_t attempt, const struct fg_run_result *res)
+void fg_node_on_run_done(struct fg_node *n, fg_ms now, uint64_t id,
+			 uint32_t attempt, const struct fg_run_result *res)
 {
 	struct fg_req *r = fg_req_find(n, id);
-	const struct verdict *v = &verdicts[res->status];
+	const struct run_effect *effect = &run_effects[res->status];
 
 	n->now = now;
 	if (r == NULL || r->state != FG_REQ_RUNNING || r->attempts != attempt)
 		return;
-	note_endpoint(n, fg_ep_find(n, r->ep), res);
-	fg_suspect_end(n, r, v->crashed, res->not_run);
-	fg_route_release(n, r, res->service_ms, v->outcome == FG_UNKNOWN);
-	if (!res->not_run && !n->conf.switches.forget_runs)
-		r->ran = true;
+	update_endpoint(n, fg_ep_find(n, r->ep), res);
+	fg_suspect_on_run_end(n, r, effect->crashed, res->not_run);
+	fg_route_release_grant(n, r, res->service_ms,
+			       effect->outcome == FG_UNKNOWN);
+	if (!res->not_run && !n->conf.switches.unknown_as_not_run)
+		r->may_have_run = true;
 	if (res->status == FG_RUN_DONE)
-		answer_done(n, r, res);
-	else if (!try_again(n, r, res, v))
-		fg_req_fail(n, r, final_outcome(n, v), v->reason,
-			    v->outcome == FG_NOT_RUN ? RETRY_AFTER_MS : 0);
-	fg_node_drain(n);
+		finish_done(n, r, res);
+	else if (!retry_if_allowed(n, r, res, effect))
+		fg_req_fail(n, r, failure_outcome(n, effect), effect->reason,
+			    effect->outcome == FG_NOT_RUN ? RETRY_AFTER_MS : 0);
+	fg_node_run_deferred(n);
 }
--- a/lib/node/fg_node_route.c
+++ b/lib/node/fg_node_route.c
@@ -1,32 +1,32 @@
-/* The way of a request to an endpoint: choice, grant, dispatch, release. */
+/* Routing of a request: choice of endpoint, grant, dispatch, release. */
 #include <string.h>
 
 #include "node/fg_node_internal.h"
 
 #define RETRY_AFTER_MS 1000
-#define BATCH_UNKNOWN UINT32_MAX /* the owner knows its batch */
-#define HELD_REPEAT_MS 3000	 /* between asks that the owner holds */
-#define RECOVERING_WAIT_MS 200
-#define ASKS_MAX 20 /* grant requests of one request */
+#define BATCH_UNKNOWN UINT32_MAX /* only the owner knows the batch size */
+#define HELD_ASK_REPEAT_MS 3000	 /* added while the owner holds the request */
+#define ROUTE_RETRY_MS 200
+#define GRANT_ASKS_MAX 20 /* per request */
 #define PRIORITY_DRAFT 10
 #define PRIORITY_INTERACTIVE 1
-#define RUN_SLACK_MS 50 /* less time than this left: not worth sending */
+#define RUN_TIME_MIN_MS 50 /* with less time left a request is not sent */
 
-/* ---- Ids: a grant request is named by request and ask ---- */
+/* ---- Ids of grant requests: request id and number of the ask ---- */
 
-static uint64_t ask_id(const struct fg_req *r)
+static uint64_t grant_ask_id(const struct fg_req *r)
 {
-	return r->id << 8 | (r->asks & 0xff);
+	return r->id << 8 | (r->grant_asks & 0xff);
 }
 
-static struct fg_req *req_of_ask(struct fg_node *n, uint64_t ask)
+static struct fg_req *find_req_by_ask(struct fg_node *n, uint64_t ask)
 {
 	struct fg_req *r = fg_req_find(n, ask >> 8);
 
-	return r != NULL && ask_id(r) == ask ? r : NULL;
+	return r != NULL && grant_ask_id(r) == ask ? r : NULL;
 }
 
-void fg_route_avoid(struct fg_req *r, uint64_t ep)
+void fg_route_avoid_ep(struct fg_req *r, uint64_t ep)
 {
 	for (uint32_t i = 0; i < r->n_avoid; i++)
 		if (r->avoid[i] == ep)
@@ -42,32 +42,34 @@
 void fg_route_back_off(struct fg_node *n, struct fg_req *r, uint32_t wait_ms)
 {
 	r->state = FG_REQ_BACKOFF;
-	r->next_at = n->now + wait_ms;
+	r->retry_at = n->now + wait_ms;
 }
 
-/* Own load on an endpoint, from the ask to the release. */
-static void count_sent(struct fg_node *n, struct fg_req *r, bool sent)
+/* The directory counts a request as load on its endpoint from the grant request
+ * to the release. */
+static void count_in_dir(struct fg_node *n, struct fg_req *r, bool counted)
 {
-	if (r->counted != sent)
-		fg_dir_add_own_grants(n->dir, r->ep, sent ? 1 : -1);
-	r->counted = sent;
+	if (r->in_dir_load != counted)
+		fg_dir_add_own_grants(n->dir, r->ep, counted ? 1 : -1);
+	r->in_dir_load = counted;
 }
 
 /* ---- Release ---- */
 
-void fg_route_release(struct fg_node *n, struct fg_req *r, uint32_t service_ms,
-		      bool unseen)
+void fg_route_release_grant(struct fg_node *n, struct fg_req *r,
+			    uint32_t service_ms, bool orphaned)
 {
 	fg_msg *msg;
 
-	count_sent(n, r, false);
+	count_in_dir(n, r, false);
 	if (r->state == FG_REQ_GRANT && r->grant == 0 && r->ep != 0) {
-		/* Asked but not yet answered: the owner must not keep a
-		 * grant for it. The release names the ask instead. */
+		/* The grant request is not answered yet, and the owner must not
+		 * keep a grant for it. The release names the ask instead of a
+		 * grant. */
 		msg = fg_msg_new(FG_MSG_RELEASE);
 		msg->body.fg_body_u.release.ep = r->ep;
-		msg->body.fg_body_u.release.req = ask_id(r);
-		fg_node_send_free(n, r->owner, msg);
+		msg->body.fg_body_u.release.req = grant_ask_id(r);
+		fg_node_send_and_free(n, r->owner, msg);
 		r->ep = 0;
 		return;
 	}
@@ -76,26 +78,26 @@
 	msg = fg_msg_new(FG_MSG_RELEASE);
 	msg->body.fg_body_u.release.ep = r->ep;
 	msg->body.fg_body_u.release.grant = r->grant;
-	msg->body.fg_body_u.release.req = ask_id(r);
+	msg->body.fg_body_u.release.req = grant_ask_id(r);
 	msg->body.fg_body_u.release.service_ms = service_ms;
-	msg->body.fg_body_u.release.crashed = unseen;
+	msg->body.fg_body_u.release.crashed = orphaned;
 	r->grant = 0;
 	fg_owner_get_state(n->owner, r->ep, &r->owner, NULL);
 	if (r->owner != 0)
-		fg_node_send_free(n, r->owner, msg);
+		fg_node_send_and_free(n, r->owner, msg);
 	else
 		fg_msg_free(msg);
 }
 
 /* ---- Dispatch ---- */
 
-static void name_attempt(const struct fg_node *n, const struct fg_req *r,
-			 char out[FG_REQ_ID_BYTES])
+static void format_attempt_id(const struct fg_node *n, const struct fg_req *r,
+			      char out[FG_REQ_ID_BYTES])
 {
-	uint64_t run = fg_hash_mix(n->self, n->conf.member.boot);
+	uint64_t boot_id = fg_hash_mix(n->self, n->conf.member.boot);
 
-	g_snprintf(out, FG_REQ_ID_BYTES, "%016" PRIx64 "-%" PRIx64 "-%u", run,
-		   r->id, r->attempts);
+	g_snprintf(out, FG_REQ_ID_BYTES, "%016" PRIx64 "-%" PRIx64 "-%u",
+		   boot_id, r->id, r->attempts);
 }
 
 static void dispatch(struct fg_node *n, struct fg_req *r, struct fg_ep *ep)
@@ -117,7 +119,7 @@
 			.timeout_ms = fg_req_left_ms(n, r),
 			.fence = r->fence,
 			.stream = r->stream,
-			.unchecked = n->conf.switches.no_check,
+			.unchecked = n->conf.switches.no_answer_check,
 		},
 	};
 
@@ -125,20 +127,21 @@
 	r->state = FG_REQ_RUNNING;
 	r->ep = ep->id;
 	cmd.attempt = r->attempts;
-	name_attempt(n, r, cmd.run.id);
-	ep->sent++;
-	fg_suspect_start(n, r);
-	fg_node_event(n, "dispatch",
-		      json_pack("{s:s,s:s,s:s,s:i}", "id", cmd.run.id, "tag",
-				r->tag, "ep", ep->info.name, "attempt",
-				(int)r->attempts));
-	n->io.run(n->io.arg, &cmd);
+	format_attempt_id(n, r, cmd.run.id);
+	ep->in_flight++;
+	fg_suspect_on_run_start(n, r);
+	fg_node_emit_event(n, "dispatch",
+			   json_pack("{s:s,s:s,s:s,s:i}", "id", cmd.run.id,
+				     "tag", r->tag, "ep", ep->info.name,
+				     "attempt", (int)r->attempts));
+	n->io.start_run(n->io.arg, &cmd);
 }
 
-/* True if there is still time to run it; else it is answered. */
-static bool has_time(struct fg_node *n, struct fg_req *r)
+/* Returns true if there is time to run the request. Otherwise ends the request,
+ * which may free it. */
+static bool ensure_time_left(struct fg_node *n, struct fg_req *r)
 {
-	if (fg_req_left_ms(n, r) > RUN_SLACK_MS)
+	if (fg_req_left_ms(n, r) > RUN_TIME_MIN_MS)
 		return true;
 	fg_req_fail(n, r, FG_NOT_RUN, FG_R_PAST_DEADLINE, RETRY_AFTER_MS);
 	return false;
@@ -148,25 +151,25 @@
 {
 	struct fg_ep *ep = fg_ep_find(n, r->ep);
 
-	if (!has_time(n, r))
+	if (!ensure_time_left(n, r))
 		return;
 	if (ep == NULL || ep->leaving) {
-		fg_route_release(n, r, 0, false);
+		fg_route_release_grant(n, r, 0, false);
 		fg_route_back_off(n, r, 0);
 		return;
 	}
-	if (r->waits_since != 0) {
-		fg_node_count(n, FG_NC_STALL_MS,
-			      (uint64_t)(n->now - r->waits_since));
-		r->waits_since = 0;
+	if (r->stalled_since != 0) {
+		fg_node_add_counter(n, FG_NC_STALL_MS,
+				    (uint64_t)(n->now - r->stalled_since));
+		r->stalled_since = 0;
 	}
 	dispatch(n, r, ep);
 }
 
 /* ---- Grants ---- */
 
-/* A draft may wait at the owner for a batch to join. */
-static uint32_t hold_ms(struct fg_node *n, const struct fg_req *r)
+/* Time that a draft may wait at the owner for a batch to join. */
+static uint32_t draft_hold_ms(struct fg_node *n, const struct fg_req *r)
 {
 	if (r->cls != FG_CLASS_DRAFT)
 		return 0;
@@ -175,49 +178,49 @@
 			  1, BATCH_UNKNOWN, false);
 }
 
-static void send_ask(struct fg_node *n, struct fg_req *r)
+static void send_grant_req(struct fg_node *n, struct fg_req *r)
 {
 	fg_msg *msg = fg_msg_new(FG_MSG_GRANT_REQ);
 	fg_grant_req *req = &msg->body.fg_body_u.grant_req;
 
-	req->req = ask_id(r);
+	req->req = grant_ask_id(r);
 	req->ep = r->ep;
 	req->av = r->av;
 	req->cls = r->cls;
 	req->budget_ms = fg_req_left_ms(n, r);
-	req->hold_ms = hold_ms(n, r);
+	req->hold_ms = draft_hold_ms(n, r);
 	r->asked_at = n->now;
-	fg_node_send_free(n, r->owner, msg);
+	fg_node_send_and_free(n, r->owner, msg);
 }
 
-static void ask_grant(struct fg_node *n, struct fg_req *r, uint64_t ep)
+static void request_grant(struct fg_node *n, struct fg_req *r, uint64_t ep)
 {
 	uint64_t owner = 0;
 
-	if (r->asks >= ASKS_MAX) {
+	if (r->grant_asks >= GRANT_ASKS_MAX) {
 		fg_req_fail(n, r, FG_NOT_RUN, FG_R_OVERLOAD, RETRY_AFTER_MS);
 		return;
 	}
 	fg_owner_get_state(n->owner, ep, &owner, NULL);
 	if (owner == 0) {
-		fg_route_back_off(n, r, RECOVERING_WAIT_MS);
+		fg_route_back_off(n, r, ROUTE_RETRY_MS);
 		return;
 	}
-	r->asks++;
+	r->grant_asks++;
 	r->state = FG_REQ_GRANT;
 	r->ep = ep;
 	r->owner = owner;
 	r->grant = 0;
-	count_sent(n, r, true);
-	fg_node_count(
+	count_in_dir(n, r, true);
+	fg_node_add_counter(
 		n, owner == n->self ? FG_NC_GRANTS_LOCAL : FG_NC_GRANTS_REMOTE,
 		1);
-	send_ask(n, r);
+	send_grant_req(n, r);
 }
 
-/* The owner has not answered: asked again under the same id, since a repeat
- * is answered with the same grant. A new owner is asked anew. */
-void fg_route_repeat_ask(struct fg_node *n, struct fg_req *r)
+/* A repeat to the same owner keeps its id, so that the owner answers with the
+ * same grant. A new owner gets a new grant request. */
+void fg_route_repeat_grant_req(struct fg_node *n, struct fg_req *r)
 {
 	uint64_t owner = 0;
 
@@ -225,44 +228,44 @@
 		return;
 	fg_owner_get_state(n->owner, r->ep, &owner, NULL);
 	if (owner == r->owner) {
-		send_ask(n, r);
+		send_grant_req(n, r);
 		return;
 	}
-	fg_route_release(n, r, 0, false);
-	fg_route(n, r);
+	fg_route_release_grant(n, r, 0, false);
+	fg_route_req(n, r);
 }
 
-static void take_grant(struct fg_node *n, struct fg_req *r,
-		       const fg_grant_rep *rep)
+static void use_grant(struct fg_node *n, struct fg_req *r,
+		      const fg_grant_rep *rep)
 {
 	r->grant = rep->grant;
 	r->fence = rep->fence;
 	dispatch_granted(n, r);
 }
 
-static void take_refusal(struct fg_node *n, struct fg_req *r,
-			 const fg_grant_rep *rep)
+static void handle_refusal(struct fg_node *n, struct fg_req *r,
+			   const fg_grant_rep *rep)
 {
 	uint64_t ep = r->ep;
 	struct fg_ep *at = fg_ep_find(n, ep);
 
-	count_sent(n, r, false);
+	count_in_dir(n, r, false);
 	r->ep = 0;
 	switch (rep->status) {
 	case FG_GRANT_NOT_OWNER:
 		fg_owner_on_hint(n->owner, n->now, ep, rep->owner, rep->fence,
-				 fg_wire_owner, n);
-		fg_route_back_off(n, r, RECOVERING_WAIT_MS);
+				 fg_node_on_owner_act, n);
+		fg_route_back_off(n, r, ROUTE_RETRY_MS);
 		break;
 	case FG_GRANT_NOT_RESIDENT:
-		fg_route_avoid(r, ep);
-		fg_route(n, r);
+		fg_route_avoid_ep(r, ep);
+		fg_route_req(n, r);
 		break;
 	case FG_GRANT_LEAVING:
 		if (at != NULL)
-			fg_ep_leaving(n, at, false);
-		fg_route_avoid(r, ep);
-		fg_route(n, r);
+			fg_ep_set_leaving(n, at, false);
+		fg_route_avoid_ep(r, ep);
+		fg_route_req(n, r);
 		break;
 	case FG_GRANT_NO_TIME:
 		fg_req_fail(n, r, FG_NOT_RUN, FG_R_NO_TIME,
@@ -273,14 +276,14 @@
 			    rep->retry_after_ms);
 		break;
 	default:
-		fg_route_back_off(n, r, RECOVERING_WAIT_MS);
+		fg_route_back_off(n, r, ROUTE_RETRY_MS);
 		break;
 	}
 }
 
-/* A grant that came too late for its request is given back at once. */
-static void return_stray(struct fg_node *n, uint64_t from,
-			 const fg_grant_rep *rep)
+/* Releases a grant that arrived after its request no longer needed it. */
+static void release_late_grant(struct fg_node *n, uint64_t from,
+			       const fg_grant_rep *rep)
 {
 	fg_msg *msg;
 
@@ -290,31 +293,32 @@
 	msg->body.fg_body_u.release.ep = rep->ep;
 	msg->body.fg_body_u.release.grant = rep->grant;
 	msg->body.fg_body_u.release.req = rep->req;
-	fg_node_send_free(n, from, msg);
+	fg_node_send_and_free(n, from, msg);
 }
 
-void fg_route_grant_reply(struct fg_node *n, uint64_t from,
-			  const fg_grant_rep *rep)
+void fg_route_on_grant_rep(struct fg_node *n, uint64_t from,
+			   const fg_grant_rep *rep)
 {
-	struct fg_req *r = req_of_ask(n, rep->req);
+	struct fg_req *r = find_req_by_ask(n, rep->req);
 
 	if (r != NULL && r->grant == rep->grant && rep->grant != 0)
 		return; /* a repeat of the grant that is in use */
 	if (r == NULL || r->state != FG_REQ_GRANT || r->ep != rep->ep) {
-		return_stray(n, from, rep);
+		release_late_grant(n, from, rep);
 		return;
 	}
 	if (rep->status == FG_GRANT_OK)
-		take_grant(n, r, rep);
+		use_grant(n, r, rep);
 	else if (rep->status == FG_GRANT_HELD)
-		r->asked_at = n->now + HELD_REPEAT_MS;
+		r->asked_at = n->now + HELD_ASK_REPEAT_MS;
 	else
-		take_refusal(n, r, rep);
+		handle_refusal(n, r, rep);
 }
 
 /* ---- Routing ---- */
 
-/* Another endpoint than those tried before, if there is one. */
+/* Prefers endpoints that the request does not avoid. If none of them holds the
+ * adapter, avoided ones are used as well. */
 static struct fg_pick pick_endpoint(struct fg_node *n, const struct fg_req *r)
 {
 	const char *region = n->conf.member.self.region;
@@ -331,8 +335,8 @@
 				    remote, NULL, 0, r->prefix_hash);
 }
 
-/* Time until an endpoint that refused a connection is tried again. */
-static uint32_t rest_ms(struct fg_node *n, uint64_t id)
+/* Time until an endpoint that refused a connection may be tried again. */
+static uint32_t cooldown_left_ms(struct fg_node *n, uint64_t id)
 {
 	const struct fg_ep *ep = fg_ep_find(n, id);
 
@@ -346,12 +350,12 @@
 	struct fg_pick pick;
 	uint32_t wait_ms;
 
-	if (!fg_suspect_gate(n, r))
+	if (!fg_suspect_admit(n, r))
 		return;
 	pick = pick_endpoint(n, r);
-	wait_ms = rest_ms(n, pick.ep);
-	if (pick.ep != 0 && fg_suspect_crowded(n, r, pick.ep))
-		wait_ms = MAX(wait_ms, RECOVERING_WAIT_MS);
+	wait_ms = cooldown_left_ms(n, pick.ep);
+	if (pick.ep != 0 && fg_suspect_has_conflict(n, r, pick.ep))
+		wait_ms = MAX(wait_ms, ROUTE_RETRY_MS);
 	if (wait_ms > 0) {
 		fg_wait_remove(n, r);
 		fg_route_back_off(n, r, wait_ms);
@@ -359,7 +363,7 @@
 	}
 	if (pick.ep != 0 && pick.resident) {
 		fg_wait_remove(n, r);
-		ask_grant(n, r, pick.ep);
+		request_grant(n, r, pick.ep);
 		return;
 	}
 	fg_wait_add(n, r);
@@ -376,9 +380,9 @@
 	fg_req_fail(n, r, FG_NOT_RUN, FG_R_NO_ENDPOINT, RETRY_AFTER_MS);
 }
 
-void fg_route(struct fg_node *n, struct fg_req *r)
+void fg_route_req(struct fg_node *n, struct fg_req *r)
 {
-	if (!has_time(n, r))
+	if (!ensure_time_left(n, r))
 		return;
 	if (r->adapter != NULL)
 		route_model(n, r);
@@ -388,13 +392,13 @@
 
 /* ---- Ownership changes ---- */
 
-static bool uses_ep(const struct fg_req *r, uint64_t ep)
+static bool holds_grant_on(const struct fg_req *r, uint64_t ep)
 {
 	return r->ep == ep && r->grant != 0;
 }
 
-void fg_route_grants_ask(struct fg_node *n, uint64_t from,
-			 const fg_grants_ask *ask)
+void fg_route_on_grants_ask(struct fg_node *n, uint64_t from,
+			    const fg_grants_ask *ask)
 {
 	fg_msg *msg = fg_msg_new(FG_MSG_GRANTS_TELL);
 	fg_grants_tell *tell = &msg->body.fg_body_u.grants_tell;
@@ -405,17 +409,17 @@
 	tell->ep = ask->ep;
 	tell->fence = ask->fence;
 	fg_owner_on_hint(n->owner, n->now, ask->ep, from, ask->fence,
-			 fg_wire_owner, n);
+			 fg_node_on_owner_act, n);
 	g_hash_table_iter_init(&it, n->reqs);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct fg_req *r = value;
 		fg_grant_info *info = &infos[tell->grants.grants_len];
 
-		if (!uses_ep(r, ask->ep) ||
+		if (!holds_grant_on(r, ask->ep) ||
 		    tell->grants.grants_len == FG_LIST_MAX)
 			continue;
 		info->grant = r->grant;
-		info->req = ask_id(r);
+		info->req = grant_ask_id(r);
 		info->av = r->av;
 		info->left_ms = fg_req_left_ms(n, r);
 		tell->grants.grants_len++;
@@ -427,8 +431,9 @@
 	fg_msg_free(msg);
 }
 
-/* Asks to a dead owner go to the next one; grants in use go on. */
-void fg_route_owner_lost(struct fg_node *n, uint64_t owner)
+/* Requests that wait for the dead owner's answer are routed again. Grants in
+ * use stay valid. */
+void fg_route_on_owner_dead(struct fg_node *n, uint64_t owner)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -439,8 +444,8 @@
 
 		if (r->state != FG_REQ_GRANT || r->owner != owner)
 			continue;
-		count_sent(n, r, false);
+		count_in_dir(n, r, false);
 		r->ep = 0;
-		fg_route_back_off(n, r, RECOVERING_WAIT_MS);
+		fg_route_back_off(n, r, ROUTE_RETRY_MS);
 	}
 }
--- a/lib/node/fg_node_suspect.c
+++ b/lib/node/fg_node_suspect.c
@@ -1,8 +1,10 @@
-/* Requests that crash endpoints: the gate before, the report after. */
+/* Requests that crash endpoints: admission before a run, report after it. */
 #include "node/fg_node_internal.h"
 
-static void tell(struct fg_node *n, const struct fg_req *r,
-		 enum fg_suspect_event event)
+#define SUSPECT_RETRY_MIN_MS 50
+
+static void report_event(struct fg_node *n, const struct fg_req *r,
+			 enum fg_suspect_event event)
 {
 	fg_msg *msg = fg_msg_new(FG_MSG_SUSPECT);
 	fg_suspect *ev = &msg->body.fg_body_u.suspect;
@@ -11,21 +13,22 @@
 	ev->av = r->av;
 	ev->ep = r->ep;
 	ev->event = event;
+	/* Request ids repeat across instances and restarts, so the id of the
+	 * event includes both. */
 	ev->req = fg_hash_mix(fg_hash_mix(n->self, n->conf.member.boot), r->id)
 			  << 8 |
 		  (r->attempts & 0xff);
 	if (fg_suspects_handle_event(n->suspects, n->now, n->self, ev)) {
 		fg_node_broadcast(n, msg);
-		fg_node_event(n, "suspect",
-			      json_pack("{s:I,s:i}", "fingerprint",
-					(json_int_t)(ev->fingerprint >> 1),
-					"event", (int)event));
+		fg_node_emit_event(n, "suspect",
+				   json_pack("{s:I,s:i}", "fingerprint",
+					     (json_int_t)(ev->fingerprint >> 1),
+					     "event", (int)event));
 	}
 	fg_msg_free(msg);
 }
 
-/* True if the request may run now; else it was answered or waits. */
-bool fg_suspect_gate(struct fg_node *n, struct fg_req *r)
+bool fg_suspect_admit(struct fg_node *n, struct fg_req *r)
 {
 	uint32_t retry_after_ms = 0;
 
@@ -41,42 +44,44 @@
 		return true;
 	case FG_SUSPECT_WAIT:
 		r->state = FG_REQ_BACKOFF;
-		r->next_at = n->now + MAX(retry_after_ms, 50);
+		r->retry_at =
+			n->now + MAX(retry_after_ms, SUSPECT_RETRY_MIN_MS);
 		return false;
 	case FG_SUSPECT_REFUSE:
 		break;
 	}
-	fg_req_fail(n, r, r->ran ? FG_FAILED : FG_NOT_RUN, FG_R_SUSPECT,
-		    retry_after_ms);
+	fg_req_fail(n, r, r->may_have_run ? FG_FAILED : FG_NOT_RUN,
+		    FG_R_SUSPECT, retry_after_ms);
 	return false;
 }
 
-void fg_suspect_start(struct fg_node *n, struct fg_req *r)
+void fg_suspect_on_run_start(struct fg_node *n, struct fg_req *r)
 {
 	if (r->suspect)
-		tell(n, r, FG_SUSPECT_STARTED);
+		report_event(n, r, FG_SUSPECT_STARTED);
 }
 
-void fg_suspect_end(struct fg_node *n, struct fg_req *r, bool crashed,
-		    bool ran_none)
+void fg_suspect_on_run_end(struct fg_node *n, struct fg_req *r, bool crashed,
+			   bool not_run)
 {
 	if (r->adapter == NULL)
 		return;
 	if (crashed)
-		tell(n, r, FG_SUSPECT_CRASH);
+		report_event(n, r, FG_SUSPECT_CRASH);
 	else if (r->suspect)
-		tell(n, r, ran_none ? FG_SUSPECT_NOT_RUN : FG_SUSPECT_FINISHED);
+		report_event(n, r,
+			     not_run ? FG_SUSPECT_NOT_RUN
+				     : FG_SUSPECT_FINISHED);
 	r->suspect = false;
 }
 
-/* True when the request is a suspect and another one runs on the endpoint:
- * if it died, either could be to blame. */
-bool fg_suspect_crowded(struct fg_node *n, const struct fg_req *r, uint64_t ep)
+bool fg_suspect_has_conflict(struct fg_node *n, const struct fg_req *r,
+			     uint64_t ep)
 {
 	return r->suspect && fg_suspects_is_running_on(n->suspects, n->now, ep);
 }
 
-void fg_suspect_msg(struct fg_node *n, uint64_t from, const fg_suspect *ev)
+void fg_suspect_on_msg(struct fg_node *n, uint64_t from, const fg_suspect *ev)
 {
 	fg_suspects_handle_event(n->suspects, n->now, from, ev);
 }
--- a/lib/node/fg_node_wait.c
+++ b/lib/node/fg_node_wait.c
@@ -1,40 +1,41 @@
-/* Requests whose adapter is resident nowhere: coalesced per adapter. */
+/* Requests whose adapter is not resident, grouped by adapter. */
 #include "node/fg_node_internal.h"
 
 #define RETRY_AFTER_MS 1000
 
-void fg_wait_free(void *arg)
+void fg_waiters_free(void *arg)
 {
-	struct fg_wait *w = arg;
+	struct fg_waiters *w = arg;
 
 	g_ptr_array_free(w->reqs, TRUE);
 	g_free(w->service);
 	g_free(w);
 }
 
-static struct fg_wait *find_wait(struct fg_node *n, fg_av av)
+static struct fg_waiters *find_waiters(struct fg_node *n, fg_av av)
 {
 	uint64_t key = fg_av_key(av);
 
-	return g_hash_table_lookup(n->waits, &key);
+	return g_hash_table_lookup(n->waiters, &key);
 }
 
-static struct fg_wait *get_wait(struct fg_node *n, const struct fg_req *r)
+static struct fg_waiters *get_waiters(struct fg_node *n, const struct fg_req *r)
 {
-	struct fg_wait *w = find_wait(n, r->av);
+	struct fg_waiters *w = find_waiters(n, r->av);
 
 	if (w != NULL)
 		return w;
-	w = g_new0(struct fg_wait, 1);
+	w = g_new0(struct fg_waiters, 1);
 	w->key = fg_av_key(r->av);
 	w->av = r->av;
 	w->service = g_strdup(r->service);
 	w->reqs = g_ptr_array_new();
-	g_hash_table_insert(n->waits, &w->key, w);
+	g_hash_table_insert(n->waiters, &w->key, w);
 	return w;
 }
 
-/* Time until its adapter must be there, for it to be done in time. */
+/* Time left until the adapter must be resident for the request to meet its
+ * deadline. */
 static uint32_t slack_ms(struct fg_node *n, const struct fg_req *r)
 {
 	uint32_t service_ms =
@@ -44,8 +45,9 @@
 	return left_ms > service_ms ? left_ms - service_ms : 0;
 }
 
-/* What all that wait for one adapter need; 0 waiting withdraws it. */
-static fg_need sum_up(struct fg_node *n, const struct fg_wait *w)
+/* Sums up the needs of all requests that wait for one adapter. A need with 0
+ * waiting withdraws the last one. */
+static fg_need sum_up_need(struct fg_node *n, const struct fg_waiters *w)
 {
 	fg_need need = {
 		.av = w->av,
@@ -63,40 +65,40 @@
 	return need;
 }
 
-static void send_need(struct fg_node *n, struct fg_wait *w)
+static void send_need(struct fg_node *n, struct fg_waiters *w)
 {
-	fg_need need = sum_up(n, w);
-
-	w->need_sent = n->now;
-	w->told_waiting = need.waiting;
-	w->told_cls = (enum fg_class)need.cls;
-	w->told_due = n->now + need.slack_ms;
-	fg_node_count(n, FG_NC_NEEDS, 1);
-	fg_model_need(n, n->self, &need, w->service);
+	fg_need need = sum_up_need(n, w);
+
+	w->need_sent_at = n->now;
+	w->need_waiting = need.waiting;
+	w->need_cls = (enum fg_class)need.cls;
+	w->need_due_at = n->now + need.slack_ms;
+	fg_node_add_counter(n, FG_NC_NEEDS, 1);
+	fg_model_send_need(n, n->self, &need, w->service);
 }
 
-/* The broker is told again when it would decide otherwise: the queue has
- * doubled, something is due sooner, or a more urgent class has joined. */
-static void update_need(struct fg_node *n, struct fg_wait *w)
+/* Sends a new NEED when the broker might decide differently: the number of
+ * requests has doubled, one is due sooner, or a more urgent class joined. */
+static void update_need(struct fg_node *n, struct fg_waiters *w)
 {
-	fg_need need = sum_up(n, w);
+	fg_need need = sum_up_need(n, w);
 
-	if (need.waiting >= 2 * w->told_waiting ||
-	    need.cls < (u_int)w->told_cls ||
-	    n->now + need.slack_ms < w->told_due)
+	if (need.waiting >= 2 * w->need_waiting ||
+	    need.cls < (u_int)w->need_cls ||
+	    n->now + need.slack_ms < w->need_due_at)
 		send_need(n, w);
 }
 
 void fg_wait_add(struct fg_node *n, struct fg_req *r)
 {
-	struct fg_wait *w = get_wait(n, r);
+	struct fg_waiters *w = get_waiters(n, r);
 
 	if (r->state == FG_REQ_ADAPTER)
 		return;
 	r->state = FG_REQ_ADAPTER;
-	if (r->waits_since == 0) {
-		r->waits_since = n->now;
-		fg_node_count(n, FG_NC_STALLED, 1);
+	if (r->stalled_since == 0) {
+		r->stalled_since = n->now;
+		fg_node_add_counter(n, FG_NC_STALLED, 1);
 	}
 	g_ptr_array_add(w->reqs, r);
 	update_need(n, w);
@@ -104,80 +106,80 @@
 
 void fg_wait_remove(struct fg_node *n, struct fg_req *r)
 {
-	struct fg_wait *w;
+	struct fg_waiters *w;
 
 	if (r->state != FG_REQ_ADAPTER)
 		return;
-	w = find_wait(n, r->av);
+	w = find_waiters(n, r->av);
 	if (w == NULL || !g_ptr_array_remove(w->reqs, r))
 		return;
 	if (w->reqs->len > 0)
 		return;
 	send_need(n, w);
-	g_hash_table_remove(n->waits, &w->key);
+	g_hash_table_remove(n->waiters, &w->key);
 }
 
-void fg_wait_resident(struct fg_node *n, fg_av av)
+void fg_wait_on_resident(struct fg_node *n, fg_av av)
 {
-	struct fg_wait *w = find_wait(n, av);
+	struct fg_waiters *w = find_waiters(n, av);
 
 	if (w == NULL)
 		return;
-	/* Routed by the next step of the clock, each on its own. The list
-	 * of endpoints to avoid is old news by now. */
+	/* The next tick routes each request. The endpoints that it avoided are
+	 * cleared because they date from before the load. */
 	for (guint i = 0; i < w->reqs->len; i++) {
 		struct fg_req *r = g_ptr_array_index(w->reqs, i);
 
 		r->state = FG_REQ_BACKOFF;
-		r->next_at = n->now;
+		r->retry_at = n->now;
 		r->n_avoid = 0;
 	}
 	g_ptr_array_set_size(w->reqs, 0);
 	send_need(n, w);
-	g_hash_table_remove(n->waits, &w->key);
+	g_hash_table_remove(n->waiters, &w->key);
 }
 
-/* Those that are due no later than what the broker was told of. */
-static GPtrArray *due_as_told(struct fg_node *n, const struct fg_wait *w)
+/* Requests that are due no later than the last NEED said. */
+static GPtrArray *find_due_reqs(struct fg_node *n, const struct fg_waiters *w)
 {
 	GPtrArray *due = g_ptr_array_new();
 
 	for (guint i = 0; i < w->reqs->len; i++) {
 		struct fg_req *r = g_ptr_array_index(w->reqs, i);
 
-		if (n->now + slack_ms(n, r) <= w->told_due)
+		if (n->now + slack_ms(n, r) <= w->need_due_at)
 			g_ptr_array_add(due, r);
 	}
 	return due;
 }
 
-void fg_wait_refused(struct fg_node *n, fg_av av)
+void fg_wait_on_refused(struct fg_node *n, fg_av av)
 {
-	struct fg_wait *w = find_wait(n, av);
+	struct fg_waiters *w = find_waiters(n, av);
 	GPtrArray *due;
 
 	if (w == NULL)
 		return;
-	due = due_as_told(n, w);
+	due = find_due_reqs(n, w);
 	for (guint i = 0; i < due->len; i++)
 		fg_req_fail(n, g_ptr_array_index(due, i), FG_NOT_RUN,
 			    FG_R_NO_TIME, RETRY_AFTER_MS);
 	g_ptr_array_free(due, TRUE);
-	w = find_wait(n, av);
+	w = find_waiters(n, av);
 	if (w != NULL)
 		send_need(n, w);
 }
 
-void fg_waits_tick(struct fg_node *n)
+void fg_wait_tick(struct fg_node *n)
 {
 	GHashTableIter it;
 	gpointer value;
 
-	g_hash_table_iter_init(&it, n->waits);
+	g_hash_table_iter_init(&it, n->waiters);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
-		struct fg_wait *w = value;
+		struct fg_waiters *w = value;
 
-		if (n->now - w->need_sent >= n->conf.need_repeat_ms)
+		if (n->now - w->need_sent_at >= n->conf.need_repeat_ms)
 			send_need(n, w);
 	}
 }
--- a/lib/run/fg_run.c
+++ b/lib/run/fg_run.c
@@ -83,14 +83,14 @@
 	out->no_pins = in->no_pin;
 	out->no_leaving = in->no_leaving;
 	out->no_drain = in->no_drain;
-	out->no_check = in->no_answer_check;
+	out->no_answer_check = in->no_answer_check;
 	out->no_config_push = in->no_push;
 	out->blind_retry = in->no_retry_budget;
 	out->no_intent = in->no_intent;
 	out->no_suspects = in->no_suspects;
 	out->no_isolation = in->no_isolation;
 	out->no_fence = in->no_fence;
-	out->forget_runs = in->no_run_memory;
+	out->unknown_as_not_run = in->no_run_memory;
 }
 
 static void fill_conf(struct fg_node_conf *conf, const struct fg_run *run,
@@ -103,12 +103,12 @@
 	conf->member.boot = boot;
 	fill_member(&conf->member, s);
 	conf->config_poll_ms = s->timing.poll_ms;
-	conf->state_ms = s->timing.engine_poll_ms;
+	conf->engine_poll_ms = s->timing.engine_poll_ms;
 	conf->order_timeout_ms = s->timing.order_timeout_ms;
 	conf->address_ttl_ms = s->timing.address_ttl_ms;
 	conf->requests_max = s->limits.requests_max;
 	conf->callers_max = s->limits.callers_max;
-	conf->caller_rate = s->limits.caller_rate_per_s;
+	conf->caller_rate_per_s = s->limits.caller_rate_per_s;
 	conf->grant_queue_max = s->limits.grant_queue_max;
 	conf->snapshot_every = s->limits.config_snapshot_every;
 	conf->group_ms = s->timing.group_ms;
@@ -123,7 +123,7 @@
 	struct fg_run *run = arg;
 
 	fg_run_lock(run);
-	fg_node_msg(run->node, fg_clock_now(), from, msg);
+	fg_node_on_msg(run->node, fg_clock_now(), from, msg);
 	fg_run_unlock(run);
 }
 
@@ -202,7 +202,7 @@
 	fg_run_fill_io(run, &io);
 	fill_conf(&conf, run, boot);
 	run->node = fg_node_new(&conf, &io, boot);
-	fg_node_set_wall(run->node, fg_clock_wall() - fg_clock_now());
+	fg_node_set_wall_offset(run->node, fg_clock_wall() - fg_clock_now());
 	return run;
 }
 
@@ -251,7 +251,7 @@
 	bool stopped;
 
 	fg_run_lock(run);
-	stopped = fg_node_stopped(run->node, fg_clock_now());
+	stopped = fg_node_is_stopped(run->node, fg_clock_now());
 	fg_run_unlock(run);
 	if (!stopped)
 		return false;
--- a/lib/run/fg_run_io.c
+++ b/lib/run/fg_run_io.c
@@ -54,8 +54,8 @@
 				    stream ? on_text : NULL, job,
 				    x != NULL ? &x->cancel : NULL, &res);
 	fg_run_lock(run);
-	fg_node_run_done(run->node, fg_clock_now(), job->cmd.req,
-			 job->cmd.attempt, &res);
+	fg_node_on_run_done(run->node, fg_clock_now(), job->cmd.req,
+			    job->cmd.attempt, &res);
 	fg_run_unlock(run);
 	g_free(res.text);
 	fg_exchange_unref(x);
@@ -120,8 +120,8 @@
 	else
 		status = FG_ORDER_NOT_SENT;
 	fg_run_lock(job->run);
-	fg_node_order_done(job->run->node, fg_clock_now(), job->ep.id,
-			   job->order.id, status);
+	fg_node_on_order_done(job->run->node, fg_clock_now(), job->ep.id,
+			      job->order.id, status);
 	fg_run_unlock(job->run);
 	g_free(job->adapter);
 	g_free(job->version);
@@ -161,8 +161,8 @@
 	result =
 		job->run->endpoints->read_state(&job->ep, STATE_TIMEOUT_MS, st);
 	fg_run_lock(job->run);
-	fg_node_engine_state(job->run->node, fg_clock_now(), job->ep.id,
-			     asked_at, result == FG_PF_OK ? st : NULL);
+	fg_node_on_engine_state(job->run->node, fg_clock_now(), job->ep.id,
+				asked_at, result == FG_PF_OK ? st : NULL);
 	fg_run_unlock(job->run);
 	g_free(st);
 	g_free(job);
@@ -192,7 +192,7 @@
 	struct fg_table_result *res = p->ops->run_op(p, job->op);
 
 	fg_run_lock(job->run);
-	fg_node_table_done(job->run->node, fg_clock_now(), res);
+	fg_node_on_table_done(job->run->node, fg_clock_now(), res);
 	fg_run_unlock(job->run);
 	fg_table_result_free(res);
 	fg_table_op_free(job->op);
@@ -218,7 +218,7 @@
 
 	result = run->platform->ops->read_list(run->platform, &list, &n);
 	fg_run_lock(run);
-	fg_node_list_done(run->node, fg_clock_now(), result, list, n);
+	fg_node_on_list_done(run->node, fg_clock_now(), result, list, n);
 	fg_run_unlock(run);
 	g_free(list);
 }
@@ -321,14 +321,14 @@
 void fg_run_fill_io(struct fg_run *run, struct fg_node_io *io)
 {
 	io->reply = io_reply;
-	io->run = io_run;
-	io->order = io_order;
-	io->state = io_state;
-	io->table = io_table;
-	io->list = io_list;
+	io->start_run = io_run;
+	io->send_order = io_order;
+	io->read_state = io_state;
+	io->run_table_op = io_table;
+	io->read_list = io_list;
 	io->announce = io_announce;
-	io->send = io_send;
-	io->change_answer = io_change_answer;
-	io->event = io_event;
+	io->send_msg = io_send;
+	io->answer_change = io_change_answer;
+	io->record_event = io_event;
 	io->arg = run;
 }
--- a/lib/run/fg_web.c
+++ b/lib/run/fg_web.c
@@ -142,7 +142,7 @@
 		x->cancel = 1;
 		fg_run_closed(run, x->id);
 		fg_run_lock(run);
-		fg_node_caller_gone(run->node, fg_clock_now(), x->id);
+		fg_node_on_caller_gone(run->node, fg_clock_now(), x->id);
 		fg_run_unlock(run);
 	}
 	fg_exchange_unref(x);
--- a/lib/run/fg_web_calls.c
+++ b/lib/run/fg_web_calls.c
@@ -212,7 +212,7 @@
 	call->x->began_ms = fg_clock_now();
 	fg_run_open(run, call->x);
 	fg_run_lock(run);
-	fg_node_request(run->node, fg_clock_now(), &call->req);
+	fg_node_on_request(run->node, fg_clock_now(), &call->req);
 	fg_run_unlock(run);
 	return true;
 }
@@ -242,8 +242,8 @@
 	change_text = json_dumps(change, JSON_COMPACT);
 	fg_run_open(run, call->x);
 	fg_run_lock(run);
-	fg_node_change(run->node, fg_clock_now(), call->x->id, change_text,
-		       (uint64_t)json_integer_value(expect), wait_ms);
+	fg_node_on_change(run->node, fg_clock_now(), call->x->id, change_text,
+			  (uint64_t)json_integer_value(expect), wait_ms);
 	fg_run_unlock(run);
 	free(change_text);
 	return true;
@@ -260,7 +260,7 @@
 		return false;
 	}
 	fg_run_lock(call->run);
-	cleared = fg_node_suspect_clear(call->run->node,
+	cleared = fg_node_clear_suspect(call->run->node,
 					g_ascii_strtoull(hex, NULL, 16));
 	fg_run_unlock(call->run);
 	*text = g_strdup_printf("{\"cleared\":%s}", cleared ? "true" : "false");
@@ -342,8 +342,8 @@
 	size_t n;
 
 	fg_run_lock(run);
-	n = fg_node_address(run->node, fg_clock_now(), adapter, service,
-			    addresses, ADDRESSES_MAX);
+	n = fg_node_find_addresses(run->node, fg_clock_now(), adapter, service,
+				   addresses, ADDRESSES_MAX);
 	ttl_ms = fg_node_address_ttl_ms(run->node);
 	fg_run_unlock(run);
 	for (size_t i = 0; i < n; i++)
--- a/tests/unit/node_fixture.c
+++ b/tests/unit/node_fixture.c
@@ -6,9 +6,9 @@
 
 #define STEP_MS 10
 #define START_MS 1000000
-#define READY_MS 30000
+#define STARTUP_MS 30000
 
-/* ---- The node's actions ---- */
+/* ---- Callbacks of the node ---- */
 
 static void io_reply(void *arg, uint64_t req, const struct fg_reply *reply)
 {
@@ -24,14 +24,14 @@
 	g_ptr_array_add(fx->replies, r);
 }
 
-static void io_run(void *arg, const struct fg_run_cmd *cmd)
+static void io_start_run(void *arg, const struct fg_run_cmd *cmd)
 {
 	struct node_fixture *fx = arg;
 
 	g_array_append_val(fx->runs, *cmd);
 }
 
-static void io_order(void *arg, const struct fg_order_cmd *cmd)
+static void io_send_order(void *arg, const struct fg_order_cmd *cmd)
 {
 	struct node_fixture *fx = arg;
 	struct fg_order_cmd copy = *cmd;
@@ -41,7 +41,7 @@
 	g_array_append_val(fx->orders, copy);
 }
 
-static void io_state(void *arg, const struct fg_listed *ep)
+static void io_read_state(void *arg, const struct fg_listed *ep)
 {
 	struct node_fixture *fx = arg;
 
@@ -49,14 +49,14 @@
 	fx->state_asked = true;
 }
 
-static void io_table(void *arg, struct fg_table_op *op)
+static void io_run_table_op(void *arg, struct fg_table_op *op)
 {
 	struct node_fixture *fx = arg;
 
 	g_queue_push_tail(&fx->ops, op);
 }
 
-static void io_list(void *arg)
+static void io_read_list(void *arg)
 {
 	struct node_fixture *fx = arg;
 
@@ -69,7 +69,8 @@
 	(void)leaving;
 }
 
-static void io_send(void *arg, const struct fg_listed *to, const fg_msg *msg)
+static void io_send_msg(void *arg, const struct fg_listed *to,
+			const fg_msg *msg)
 {
 	struct node_fixture *fx = arg;
 
@@ -77,7 +78,7 @@
 	g_ptr_array_add(fx->sent, fg_msg_dup(msg));
 }
 
-static void io_change_answer(void *arg, uint64_t id,
+static void io_answer_change(void *arg, uint64_t id,
 			     enum fg_change_status status, uint64_t revision,
 			     const char *text)
 {
@@ -90,14 +91,14 @@
 		fx->changes_accepted++;
 }
 
-static void io_event(void *arg, const char *name, json_t *fields)
+static void io_record_event(void *arg, const char *name, json_t *fields)
 {
 	(void)arg;
 	(void)name;
 	json_decref(fields);
 }
 
-/* ---- Answers of the fakes ---- */
+/* ---- Automatic answers ---- */
 
 static void answer_ops(struct node_fixture *fx)
 {
@@ -106,7 +107,7 @@
 	while ((op = g_queue_pop_head(&fx->ops)) != NULL) {
 		struct fg_table_result *res = fake_table_run(fx->table, op);
 
-		fg_node_table_done(fx->node, fx->now, res);
+		fg_node_on_table_done(fx->node, fx->now, res);
 		fg_table_result_free(res);
 		fg_table_op_free(op);
 	}
@@ -118,11 +119,11 @@
 		return;
 	fx->list_asked = false;
 	if (fx->table->fault == FG_PF_OK)
-		fg_node_list_done(fx->node, fx->now, FG_PF_OK,
-				  (struct fg_listed *)fx->list->data,
-				  fx->list->len);
+		fg_node_on_list_done(fx->node, fx->now, FG_PF_OK,
+				     (struct fg_listed *)fx->list->data,
+				     fx->list->len);
 	else
-		fg_node_list_done(fx->node, fx->now, FG_PF_DOWN, NULL, 0);
+		fg_node_on_list_done(fx->node, fx->now, FG_PF_DOWN, NULL, 0);
 }
 
 static void answer_state(struct node_fixture *fx)
@@ -133,8 +134,8 @@
 		return;
 	fx->state_asked = false;
 	if (fx->state_fails) {
-		fg_node_engine_state(fx->node, fx->now, fg_hash_str(NFX_ENGINE),
-				     fx->now, NULL);
+		fg_node_on_engine_state(fx->node, fx->now,
+					fg_hash_str(NFX_ENGINE), fx->now, NULL);
 		return;
 	}
 	st = g_new0(struct fg_engine_state, 1);
@@ -148,8 +149,8 @@
 		g_strlcpy(st->slot[i].version, "v1", FG_NAME_BYTES);
 		st->slot[i].running = fx->running[i];
 	}
-	fg_node_engine_state(fx->node, fx->now, fg_hash_str(NFX_ENGINE),
-			     fx->now, st);
+	fg_node_on_engine_state(fx->node, fx->now, fg_hash_str(NFX_ENGINE),
+				fx->now, st);
 	g_free(st);
 }
 
@@ -165,8 +166,8 @@
 			fx->adapter[cmd.order.slot] =
 				g_strdup(cmd.order.adapter);
 		}
-		fg_node_order_done(fx->node, fx->now, cmd.ep.id, cmd.order.id,
-				   FG_ORDER_DONE);
+		fg_node_on_order_done(fx->node, fx->now, cmd.ep.id,
+				      cmd.order.id, FG_ORDER_DONE);
 		g_free((char *)cmd.order.adapter);
 		g_free((char *)cmd.order.version);
 	}
@@ -223,7 +224,7 @@
 		.deadline_ms = deadline_ms,
 	};
 
-	fg_node_request(fx->node, fx->now, &req);
+	fg_node_on_request(fx->node, fx->now, &req);
 }
 
 void nfx_send_filing(struct node_fixture *fx, uint64_t id, const char *key,
@@ -240,7 +241,7 @@
 		.deadline_ms = 10000,
 	};
 
-	fg_node_request(fx->node, fx->now, &req);
+	fg_node_on_request(fx->node, fx->now, &req);
 }
 
 void nfx_send_status(struct node_fixture *fx, uint64_t id)
@@ -255,7 +256,7 @@
 		.deadline_ms = 10000,
 	};
 
-	fg_node_request(fx->node, fx->now, &req);
+	fg_node_on_request(fx->node, fx->now, &req);
 }
 
 void nfx_finish_run(struct node_fixture *fx, guint i, enum fg_run_status status)
@@ -270,7 +271,7 @@
 		      status == FG_RUN_NOT_LOADED;
 	if (status == FG_RUN_DONE)
 		res.text = cmd.run.adapter != NULL ? "text" : "{\"ok\":1}";
-	fg_node_run_done(fx->node, fx->now, cmd.req, cmd.attempt, &res);
+	fg_node_on_run_done(fx->node, fx->now, cmd.req, cmd.attempt, &res);
 }
 
 const struct nfx_reply *nfx_find_reply(const struct node_fixture *fx,
@@ -306,7 +307,7 @@
 	g_ptr_array_set_size(fx->sent, 0);
 }
 
-/* ---- Life ---- */
+/* ---- Lifetime ---- */
 
 static void free_reply(void *arg)
 {
@@ -322,20 +323,20 @@
 	fg_msg_free(msg);
 }
 
-static void make_node(struct node_fixture *fx)
+static void create_node(struct node_fixture *fx)
 {
 	struct fg_node_conf conf = { 0 };
 	struct fg_node_io io = {
 		.reply = io_reply,
-		.run = io_run,
-		.order = io_order,
-		.state = io_state,
-		.table = io_table,
-		.list = io_list,
+		.start_run = io_start_run,
+		.send_order = io_send_order,
+		.read_state = io_read_state,
+		.run_table_op = io_run_table_op,
+		.read_list = io_read_list,
 		.announce = io_announce,
-		.send = io_send,
-		.change_answer = io_change_answer,
-		.event = io_event,
+		.send_msg = io_send_msg,
+		.answer_change = io_answer_change,
+		.record_event = io_record_event,
 		.arg = fx,
 	};
 	struct fg_listed *self = &conf.member.self;
@@ -381,7 +382,7 @@
 		"{\"kind\":\"right_grant\",\"adapter\":\"a4\",\"caller\":\"*\"}"
 		"]}";
 
-	fg_node_change(fx->node, fx->now, 1, change, 0, 5000);
+	fg_node_on_change(fx->node, fx->now, 1, change, 0, 5000);
 	nfx_advance(fx, 3000);
 	g_assert_cmpuint(fx->changes_accepted, ==, 1);
 }
@@ -399,11 +400,11 @@
 	fx->auto_state = true;
 	fx->auto_order = true;
 	fx->now = START_MS;
-	make_node(fx);
+	create_node(fx);
 	nfx_set_listed(fx, FG_LISTED_ENTRY, "entry-1", false);
 	nfx_set_listed(fx, FG_LISTED_ENGINE, NFX_ENGINE, false);
 	nfx_set_listed(fx, FG_LISTED_PLAIN, NFX_PLAIN, false);
-	nfx_advance(fx, READY_MS);
+	nfx_advance(fx, STARTUP_MS);
 	add_catalogue(fx);
 	return fx;
 }
--- a/tests/unit/test_node.c
+++ b/tests/unit/test_node.c
@@ -1,4 +1,4 @@
-/* One node with fakes at its interfaces: whole requests and their failures. */
+/* One node with fake callbacks: whole requests and their failures. */
 #include "node_fixture.h"
 
 #include <string.h>
@@ -23,7 +23,7 @@
 	return &g_array_index(fx->runs, struct fg_run_cmd, i);
 }
 
-/* An adapter that is not resident is loaded, then the request runs. */
+/* A request for an adapter that is not resident runs after the load. */
 static void test_generate(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -36,7 +36,7 @@
 	g_assert_null(nfx_find_reply(fx, 10));
 	nfx_finish_run(fx, 0, FG_RUN_DONE);
 	assert_outcome(fx, 10, FG_DONE, FG_R_NONE);
-	/* Resident now: the next one needs no load and no wait. */
+	/* The adapter is resident: the next request runs at once. */
 	nfx_send_generate(fx, 11, "a1", FG_CLASS_INTERACTIVE, 10000);
 	g_assert_cmpuint(fx->runs->len, ==, 1);
 	nfx_free(fx);
@@ -56,7 +56,7 @@
 	nfx_free(fx);
 }
 
-/* Slots in use are not given up: the third adapter waits for one. */
+/* Slots with grants are not evicted: a third adapter waits for a free one. */
 static void test_pinned_slots(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -77,8 +77,8 @@
 	nfx_free(fx);
 }
 
-/* A lost attempt of repeatable work is tried again, as another attempt; the
- * result of the first one, should it come again, is ignored. */
+/* A lost attempt of a model request is retried under another attempt id. A late
+ * result of the first attempt is ignored. */
 static void test_retry(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -93,15 +93,15 @@
 	g_assert_cmpuint(fx->runs->len, ==, 1);
 	g_assert_cmpuint(run_at(fx, 0)->attempt, ==, 2);
 	g_assert_cmpstr(run_at(fx, 0)->run.id, !=, first.run.id);
-	fg_node_run_done(fx->node, fx->now, 10, first.attempt, &late);
+	fg_node_on_run_done(fx->node, fx->now, 10, first.attempt, &late);
 	g_assert_null(nfx_find_reply(fx, 10));
 	nfx_finish_run(fx, 0, FG_RUN_DONE);
 	assert_outcome(fx, 10, FG_DONE, FG_R_NONE);
 	nfx_free(fx);
 }
 
-/* A request that ran once is not said to be NOT_RUN when the broker can no
- * longer serve its next attempt. */
+/* A request whose first attempt may have run is answered UNKNOWN, not NOT_RUN,
+ * when the broker refuses the load for its next attempt. */
 static void test_ran_then_refused(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -110,21 +110,21 @@
 	nfx_send_generate(fx, 10, "a1", FG_CLASS_INTERACTIVE, 10000);
 	nfx_advance(fx, 1000);
 	nfx_finish_run(fx, 0, FG_RUN_LOST);
-	/* Its adapter is gone from the engine, and is not loaded again. */
+	/* The engine no longer holds the adapter, and no load succeeds. */
 	fx->auto_order = false;
 	g_clear_pointer(&fx->adapter[0], g_free);
 	g_clear_pointer(&fx->adapter[1], g_free);
 	nfx_advance(fx, 3000);
 	msg->body.fg_body_u.place_rep.av = (fg_av){ 1, 1 };
 	msg->body.fg_body_u.place_rep.status = FG_PLACE_REFUSED;
-	fg_node_msg(fx->node, fx->now, fg_hash_str("entry-1"), msg);
+	fg_node_on_msg(fx->node, fx->now, fg_hash_str("entry-1"), msg);
 	assert_outcome(fx, 10, FG_UNKNOWN, FG_R_NO_TIME);
 	fg_msg_free(msg);
 	nfx_free(fx);
 }
 
-/* A filing runs once: a repeat gets the recorded answer, a lost one is
- * UNKNOWN and stays so. */
+/* A filing runs once. A repeat gets the recorded answer, and the same key with
+ * another body is refused. */
 static void test_filing(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -147,6 +147,7 @@
 	nfx_free(fx);
 }
 
+/* A lost filing is UNKNOWN and is not run again under the same key. */
 static void test_filing_lost(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -164,7 +165,7 @@
 	nfx_free(fx);
 }
 
-/* With the table out a filing is refused at once, and it did not run. */
+/* While the table is unreachable a filing is refused at once and not run. */
 static void test_filing_outage(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -177,7 +178,7 @@
 	nfx_free(fx);
 }
 
-/* Model work goes on while the platform is out. */
+/* Model requests are served during a platform outage. */
 static void test_outage(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -205,7 +206,7 @@
 	nfx_free(fx);
 }
 
-/* Gives the peer a lease row; state is "live" or "leaving". */
+/* Writes the peer's lease row; state is "live" or "leaving". */
 static void put_peer(struct node_fixture *fx, const char *state)
 {
 	char row[256];
@@ -218,8 +219,9 @@
 	fake_table_put(fx->table, "session/" NFX_PEER, row);
 }
 
-/* A refusal because it is leaving is a sign like any other, whatever the list
- * shows: the request goes elsewhere, peers are told, and it gets no more. */
+/* An endpoint that refuses a request because it is leaving counts as leaving
+ * even if the list does not say so: the request is not sent there again, peers
+ * are informed, and later requests avoid the endpoint. */
 static void test_leaving_refused(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -237,7 +239,7 @@
 	nfx_send_status(fx, 10);
 	cmd = *run_at(fx, 0);
 	g_array_set_size(fx->runs, 0);
-	fg_node_run_done(fx->node, fx->now, 10, cmd.attempt, &res);
+	fg_node_on_run_done(fx->node, fx->now, 10, cmd.attempt, &res);
 	g_assert_cmpuint(nfx_count_sent(fx, FG_MSG_LEAVING), ==, 1);
 	nfx_advance(fx, 2000);
 	assert_outcome(fx, 10, FG_NOT_RUN, FG_R_NO_ENDPOINT);
@@ -247,7 +249,7 @@
 	nfx_free(fx);
 }
 
-/* A request that is waiting when its endpoint leaves is not sent there. */
+/* No request is sent to an engine that the list shows as leaving. */
 static void test_leaving_engine(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -264,7 +266,7 @@
 	nfx_free(fx);
 }
 
-/* A planned stop waits for what runs and takes nothing more. */
+/* A planned stop waits for running requests and refuses new ones. */
 static void test_stop(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -273,32 +275,32 @@
 	nfx_advance(fx, 1000);
 	fg_node_stop(fx->node, fx->now);
 	nfx_advance(fx, 2000);
-	g_assert_false(fg_node_stopped(fx->node, fx->now));
+	g_assert_false(fg_node_is_stopped(fx->node, fx->now));
 	nfx_send_generate(fx, 11, "a1", FG_CLASS_INTERACTIVE, 10000);
 	assert_outcome(fx, 11, FG_NOT_RUN, FG_R_STOPPING);
 	nfx_finish_run(fx, 0, FG_RUN_DONE);
 	assert_outcome(fx, 10, FG_DONE, FG_R_NONE);
 	nfx_advance(fx, 2000);
-	g_assert_true(fg_node_stopped(fx->node, fx->now));
+	g_assert_true(fg_node_is_stopped(fx->node, fx->now));
 	nfx_free(fx);
 }
 
-/* A stop that ends leaves no lease row, which the others would have to wait
- * for, and would count in their quorums. */
-static void test_stop_quits(void)
+/* A completed stop deletes the lease row. A row left behind would count in the
+ * other instances' quorums until it lapsed. */
+static void test_stop_deletes_lease(void)
 {
 	struct node_fixture *fx = nfx_new();
 
 	fg_node_stop(fx->node, fx->now);
 	nfx_advance(fx, 2000);
-	g_assert_true(fg_node_stopped(fx->node, fx->now));
+	g_assert_true(fg_node_is_stopped(fx->node, fx->now));
 	g_assert_null(fake_table_get(fx->table, "session/entry-1"));
 	nfx_free(fx);
 }
 
-/* An instance that is leaving still has requests, which wait for adapters: it
- * must hear what becomes resident. */
-static void test_leaving_peer_told(void)
+/* A leaving instance may still have requests that wait for adapters, so it must
+ * receive RESIDENT messages. */
+static void test_resident_to_leaving_peer(void)
 {
 	struct node_fixture *fx = nfx_new();
 
@@ -313,8 +315,9 @@
 	nfx_free(fx);
 }
 
-/* A new owner asks again whoever has not told its grants: the peer may not
- * have known it yet, and it may evict nothing before. */
+/* A new owner repeats GRANTS_ASK to a peer that has not reported its grants. A
+ * peer that did not know the new owner drops the first GRANTS_ASK, and the
+ * owner may not evict anything before the report. */
 static void test_grants_ask_repeat(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -331,15 +334,15 @@
 	nfx_clear_sent(fx);
 	nfx_set_listed(fx, FG_LISTED_ENGINE, "engine-2", false);
 	nfx_advance(fx, 8000);
-	fg_node_engine_state(fx->node, fx->now, fg_hash_str("engine-2"),
-			     fx->now, &st);
+	fg_node_on_engine_state(fx->node, fx->now, fg_hash_str("engine-2"),
+				fx->now, &st);
 	nfx_advance(fx, 2000);
 	g_assert_cmpuint(nfx_count_sent(fx, FG_MSG_GRANTS_ASK), >, 1);
 	nfx_free(fx);
 }
 
-/* A grant that comes after its request ended is given back at once. */
-static void test_stray_grant(void)
+/* A grant that arrives after its request ended is released at once. */
+static void test_late_grant(void)
 {
 	struct node_fixture *fx = nfx_new();
 	fg_msg *msg = fg_msg_new(FG_MSG_GRANT_REP);
@@ -352,7 +355,7 @@
 	msg->body.fg_body_u.grant_rep.ep = fg_hash_str(NFX_ENGINE);
 	msg->body.fg_body_u.grant_rep.status = FG_GRANT_OK;
 	msg->body.fg_body_u.grant_rep.grant = 5;
-	fg_node_msg(fx->node, fx->now, fg_hash_str(NFX_PEER), msg);
+	fg_node_on_msg(fx->node, fx->now, fg_hash_str(NFX_PEER), msg);
 	g_assert_cmpuint(nfx_count_sent(fx, FG_MSG_RELEASE), ==, 1);
 	fg_msg_free(msg);
 	nfx_free(fx);
@@ -364,13 +367,14 @@
 	struct node_fixture *fx = nfx_new();
 	char out[2][FG_ADDR_BYTES];
 
-	g_assert_cmpuint(fg_node_address(fx->node, fx->now, "a1", NULL, out, 2),
-			 ==, 1);
+	g_assert_cmpuint(
+		fg_node_find_addresses(fx->node, fx->now, "a1", NULL, out, 2),
+		==, 1);
 	g_assert_cmpstr(out[0], ==, "127.0.0.1:3");
 	nfx_free(fx);
 }
 
-/* A caller that goes away frees what waits for it. */
+/* A waiting request is cancelled when its caller goes away. */
 static void test_caller_gone(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -378,7 +382,7 @@
 	fx->auto_order = false;
 	nfx_send_generate(fx, 10, "a1", FG_CLASS_INTERACTIVE, 10000);
 	nfx_advance(fx, 500);
-	fg_node_caller_gone(fx->node, fx->now, 10);
+	fg_node_on_caller_gone(fx->node, fx->now, 10);
 	assert_outcome(fx, 10, FG_NOT_RUN, FG_R_CANCELLED);
 	nfx_free(fx);
 }
@@ -391,20 +395,18 @@
 	return -1;
 }
 
-/*
- * An attempt whose end nobody saw may still run in the engine: its slot is
- * kept until the engine says that it runs nothing there.
- */
-static void test_unseen_end_keeps_slot(void)
+/* An attempt whose end was not observed may still be running. Its slot is not
+ * evicted until the engine reports that nothing runs there. */
+static void test_orphaned_run_keeps_slot(void)
 {
-	static const enum fg_run_status unseen[] = {
+	static const enum fg_run_status unobserved[] = {
 		FG_RUN_LOST,
 		FG_RUN_BAD_ANSWER,
 		FG_RUN_TIMEOUT,
 		FG_RUN_CANCELLED,
 	};
 
-	for (guint i = 0; i < G_N_ELEMENTS(unseen); i++) {
+	for (guint i = 0; i < G_N_ELEMENTS(unobserved); i++) {
 		struct node_fixture *fx = nfx_new();
 		int slot;
 
@@ -414,9 +416,9 @@
 		g_assert_cmpuint(fx->runs->len, ==, 2);
 		slot = slot_holding(fx, run_at(fx, 0)->run.adapter);
 		fx->running[slot] = 1;
-		/* Nobody takes its answer any more. */
-		fg_node_caller_gone(fx->node, fx->now, run_at(fx, 0)->req);
-		nfx_finish_run(fx, 0, unseen[i]);
+		/* Without a caller the request is not retried. */
+		fg_node_on_caller_gone(fx->node, fx->now, run_at(fx, 0)->req);
+		nfx_finish_run(fx, 0, unobserved[i]);
 		nfx_send_generate(fx, 12, "a3", FG_CLASS_INTERACTIVE, 60000);
 		nfx_advance(fx, 5000);
 		g_assert_cmpint(slot_holding(fx, "a3"), ==, -1);
@@ -427,14 +429,15 @@
 	}
 }
 
-/* Once an attempt may have run, nobody is told NOT_RUN: not when the adapter
- * cannot be loaded in time any more ... */
+/* Once an attempt may have run, the reply is not NOT_RUN when the adapter can
+ * no longer be loaded in time. */
 static void test_ran_then_no_adapter(void)
 {
 	struct node_fixture *fx = nfx_new();
 	fg_msg *msg = fg_msg_new(FG_MSG_PLACE_REP);
 
-	/* Without known service times nothing is refused for its estimate. */
+	/* Fill the service time estimate: without samples no request is refused
+	 * for lack of time. */
 	for (uint64_t id = 100; id < 150; id++) {
 		nfx_send_generate(fx, id, "a1", FG_CLASS_INTERACTIVE, 10000);
 		nfx_advance(fx, 200);
@@ -451,7 +454,7 @@
 	nfx_finish_run(fx, 0, FG_RUN_LOST);
 	nfx_advance(fx, 4000);
 	g_assert_null(nfx_find_reply(fx, 10));
-	fg_node_msg(fx->node, fx->now, fg_hash_str(NFX_PEER), msg);
+	fg_node_on_msg(fx->node, fx->now, fg_hash_str(NFX_PEER), msg);
 	fg_msg_free(msg);
 	g_assert_nonnull(nfx_find_reply(fx, 10));
 	g_assert_cmpstr(fg_outcome_name(nfx_find_reply(fx, 10)->outcome), ==,
@@ -459,7 +462,8 @@
 	nfx_free(fx);
 }
 
-/* ... nor when the caller goes away before the next attempt. */
+/* Once an attempt may have run, the reply is not NOT_RUN when the caller goes
+ * away before the next attempt. */
 static void test_ran_then_caller_gone(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -467,7 +471,7 @@
 	nfx_send_generate(fx, 10, "a1", FG_CLASS_INTERACTIVE, 10000);
 	nfx_advance(fx, 1000);
 	nfx_finish_run(fx, 0, FG_RUN_LOST);
-	fg_node_caller_gone(fx->node, fx->now, 10);
+	fg_node_on_caller_gone(fx->node, fx->now, 10);
 	assert_outcome(fx, 10, FG_UNKNOWN, FG_R_CANCELLED);
 	nfx_free(fx);
 }
@@ -483,8 +487,9 @@
 	return NULL;
 }
 
-/* Two instances number their requests alike; a crash told by one must not be
- * taken for a repeat of one told by the other. */
+/* Instances number their requests independently, so the same request id occurs
+ * on several. A crash reported by one instance must not be taken for a repeat
+ * of a crash reported by another. */
 static void test_suspect_ids_differ(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -498,21 +503,22 @@
 	nfx_clear_sent(fx);
 	nfx_finish_run(fx, 0, FG_RUN_LOST);
 	g_assert_nonnull(first_sent(fx, FG_MSG_SUSPECT));
-	/* The peer tells of a crash of its request 10, elsewhere. */
+	/* The peer reports a crash under its own request 10 on another
+	 * endpoint. */
 	msg = fg_msg_dup(first_sent(fx, FG_MSG_SUSPECT));
 	g_assert_cmpint(msg->body.fg_body_u.suspect.event, ==,
 			FG_SUSPECT_CRASH);
 	msg->body.fg_body_u.suspect.req = 10 << 8 | 1;
 	msg->body.fg_body_u.suspect.ep = 1234;
-	fg_node_msg(fx->node, fx->now, fg_hash_str(NFX_PEER), msg);
+	fg_node_on_msg(fx->node, fx->now, fg_hash_str(NFX_PEER), msg);
 	fg_msg_free(msg);
 	nfx_advance(fx, 3000);
 	assert_outcome(fx, 10, FG_FAILED, FG_R_SUSPECT);
 	nfx_free(fx);
 }
 
-/* What an engine holds counts for nothing while it does not answer, so that
- * its adapters are loaded elsewhere. */
+/* Adapters of an engine that does not answer do not count as resident, so that
+ * they are loaded on another engine. */
 static void test_silent_engine(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -532,7 +538,7 @@
 	nfx_free(fx);
 }
 
-/* While an endpoint refuses connections, nothing is spent on trying it. */
+/* After a refused connection no attempt is made on the endpoint for a while. */
 static void test_refused_connection(void)
 {
 	struct node_fixture *fx = nfx_new();
@@ -563,14 +569,15 @@
 	g_test_add_func("/node/leaving_refused", test_leaving_refused);
 	g_test_add_func("/node/leaving_engine", test_leaving_engine);
 	g_test_add_func("/node/stop", test_stop);
-	g_test_add_func("/node/stop_quits", test_stop_quits);
-	g_test_add_func("/node/leaving_peer_told", test_leaving_peer_told);
+	g_test_add_func("/node/stop_deletes_lease", test_stop_deletes_lease);
+	g_test_add_func("/node/resident_to_leaving_peer",
+			test_resident_to_leaving_peer);
 	g_test_add_func("/node/grants_ask_repeat", test_grants_ask_repeat);
-	g_test_add_func("/node/stray_grant", test_stray_grant);
+	g_test_add_func("/node/late_grant", test_late_grant);
 	g_test_add_func("/node/address", test_address);
 	g_test_add_func("/node/caller_gone", test_caller_gone);
-	g_test_add_func("/node/unseen_end_keeps_slot",
-			test_unseen_end_keeps_slot);
+	g_test_add_func("/node/orphaned_run_keeps_slot",
+			test_orphaned_run_keeps_slot);
 	g_test_add_func("/node/ran_then_no_adapter", test_ran_then_no_adapter);
 	g_test_add_func("/node/ran_then_caller_gone",
 			test_ran_then_caller_gone);
