--- a/lib/run/fg_exchange.c
+++ b/lib/run/fg_exchange.c
@@ -14,7 +14,7 @@
 	x->cls = -1;
 	x->connection = connection;
 	x->body = g_string_new(NULL);
-	x->out = g_string_new(NULL);
+	x->pending_text = g_string_new(NULL);
 	pthread_mutex_init(&x->lock, NULL);
 	return x;
 }
@@ -30,7 +30,7 @@
 	if (x == NULL || !g_atomic_int_dec_and_test(&x->refs))
 		return;
 	g_string_free(x->body, TRUE);
-	g_string_free(x->out, TRUE);
+	g_string_free(x->pending_text, TRUE);
 	g_free(x->tag);
 	pthread_mutex_destroy(&x->lock);
 	g_free(x);
@@ -44,8 +44,8 @@
 	pthread_mutex_unlock(&x->lock);
 }
 
-/* Called with the lock. */
-static void wake(struct fg_exchange *x)
+/* Caller holds the lock. */
+static void resume_if_suspended(struct fg_exchange *x)
 {
 	if (!x->suspended)
 		return;
@@ -53,13 +53,13 @@
 	MHD_resume_connection(x->connection);
 }
 
-void fg_exchange_piece(struct fg_exchange *x, const char *line)
+void fg_exchange_add_piece(struct fg_exchange *x, const char *line)
 {
 	pthread_mutex_lock(&x->lock);
 	if (!x->closed && !x->done) {
-		g_string_append(x->out, line);
+		g_string_append(x->pending_text, line);
 		x->pieces++;
-		wake(x);
+		resume_if_suspended(x);
 	}
 	pthread_mutex_unlock(&x->lock);
 }
@@ -72,9 +72,9 @@
 		x->status = status;
 		x->retry_after_ms = retry_after_ms;
 		x->done = true;
-		g_string_append(x->out, text);
-		g_string_append_c(x->out, '\n');
-		wake(x);
+		g_string_append(x->pending_text, text);
+		g_string_append_c(x->pending_text, '\n');
+		resume_if_suspended(x);
 	}
 	pthread_mutex_unlock(&x->lock);
 }
@@ -86,7 +86,7 @@
 	pthread_mutex_unlock(&x->lock);
 }
 
-/* Content reader of a stream. */
+/* Passes pending text to MHD; suspends the connection while there is none. */
 static ssize_t read_stream(void *arg, uint64_t pos, char *buf, size_t max)
 {
 	struct fg_exchange *x = arg;
@@ -95,10 +95,10 @@
 
 	(void)pos;
 	pthread_mutex_lock(&x->lock);
-	len_bytes = MIN(x->out->len, max);
+	len_bytes = MIN(x->pending_text->len, max);
 	if (len_bytes > 0) {
-		memcpy(buf, x->out->str, len_bytes);
-		g_string_erase(x->out, 0, (gssize)len_bytes);
+		memcpy(buf, x->pending_text->str, len_bytes);
+		g_string_erase(x->pending_text, 0, (gssize)len_bytes);
 		rc = (ssize_t)len_bytes;
 	} else if (x->done) {
 		rc = MHD_CONTENT_READER_END_OF_STREAM;
@@ -111,7 +111,7 @@
 	return rc;
 }
 
-static void free_stream(void *arg)
+static void release_stream(void *arg)
 {
 	fg_exchange_unref(arg);
 }
@@ -128,8 +128,8 @@
 	MHD_add_response_header(response, MHD_HTTP_HEADER_RETRY_AFTER, seconds);
 }
 
-struct MHD_Response *fg_exchange_response(struct fg_exchange *x,
-					  uint32_t *status)
+struct MHD_Response *fg_exchange_create_response(struct fg_exchange *x,
+						 uint32_t *status)
 {
 	struct MHD_Response *response;
 
@@ -137,13 +137,14 @@
 	if (x->done && x->pieces == 0) {
 		*status = x->status;
 		response = MHD_create_response_from_buffer(
-			x->out->len, x->out->str, MHD_RESPMEM_MUST_COPY);
+			x->pending_text->len, x->pending_text->str,
+			MHD_RESPMEM_MUST_COPY);
 		add_retry_after(response, x->retry_after_ms);
 	} else {
 		*status = MHD_HTTP_OK;
 		response = MHD_create_response_from_callback(
 			MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, read_stream,
-			fg_exchange_ref(x), free_stream);
+			fg_exchange_ref(x), release_stream);
 	}
 	pthread_mutex_unlock(&x->lock);
 	MHD_add_response_header(response, MHD_HTTP_HEADER_CONTENT_TYPE,
--- a/lib/run/fg_pool.h
+++ b/lib/run/fg_pool.h
@@ -1,8 +1,8 @@
 /*
  * fg_pool - a pool of worker threads for blocking calls.
  *
- * Threads are started when work waits and none is idle, up to a bound, and
- * end after a while without work.
+ * A thread is started when a job is queued and no thread is idle, up to a
+ * limit. A thread ends after some time without jobs.
  */
 #ifndef FG_POOL_H
 #define FG_POOL_H
@@ -11,13 +11,15 @@
 
 struct fg_pool;
 
-/* At most threads_max threads, each with a stack of stack_bytes. */
+/* Creates a pool of at most threads_max threads with stacks of stack_bytes. */
 struct fg_pool *fg_pool_new(uint32_t threads_max, uint32_t stack_bytes);
 
-/* Runs fn(arg) on some thread, in order of submission. Never blocks. */
+/* Queues fn(arg) to run on one of the threads. Jobs start in the order in which
+ * they were queued. Does not wait for a thread. */
 void fg_pool_submit(struct fg_pool *p, void (*fn)(void *arg), void *arg);
 
-/* Waits for all work submitted, ends all threads and frees. */
+/* Waits for all queued jobs, ends all threads and frees the pool. NULL is
+ * allowed. */
 void fg_pool_free(struct fg_pool *p);
 
 #endif
--- a/lib/run/fg_run.c
+++ b/lib/run/fg_run.c
@@ -1,4 +1,4 @@
-/* Start, clockwork and end of the runtime. */
+/* Start, ticks and end of the runtime. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -9,49 +9,49 @@
 
 #define STACK_BYTES (256 * 1024)
 #define ORDER_THREADS_MAX 32
-#define FG_TEST_ON "1"
+#define TEST_HOOKS_ON "1"
 
 G_DEFINE_QUARK(fg_run_error_quark, fg_run_error)
 
 void fg_run_lock(struct fg_run *run)
 {
-	pthread_mutex_lock(&run->core);
+	pthread_mutex_lock(&run->node_lock);
 }
 
 void fg_run_unlock(struct fg_run *run)
 {
-	pthread_mutex_unlock(&run->core);
+	pthread_mutex_unlock(&run->node_lock);
 }
 
 /* ---- Open exchanges ---- */
 
-void fg_run_open(struct fg_run *run, struct fg_exchange *x)
+void fg_run_add_exchange(struct fg_run *run, struct fg_exchange *x)
 {
-	pthread_mutex_lock(&run->open_lock);
-	g_hash_table_insert(run->open, &x->id, fg_exchange_ref(x));
-	pthread_mutex_unlock(&run->open_lock);
+	pthread_mutex_lock(&run->exchanges_lock);
+	g_hash_table_insert(run->exchanges, &x->id, fg_exchange_ref(x));
+	pthread_mutex_unlock(&run->exchanges_lock);
 }
 
-struct fg_exchange *fg_run_find(struct fg_run *run, uint64_t id)
+struct fg_exchange *fg_run_find_exchange(struct fg_run *run, uint64_t id)
 {
 	struct fg_exchange *x;
 
-	pthread_mutex_lock(&run->open_lock);
-	x = g_hash_table_lookup(run->open, &id);
+	pthread_mutex_lock(&run->exchanges_lock);
+	x = g_hash_table_lookup(run->exchanges, &id);
 	if (x != NULL)
 		fg_exchange_ref(x);
-	pthread_mutex_unlock(&run->open_lock);
+	pthread_mutex_unlock(&run->exchanges_lock);
 	return x;
 }
 
-void fg_run_closed(struct fg_run *run, uint64_t id)
+void fg_run_remove_exchange(struct fg_run *run, uint64_t id)
 {
-	pthread_mutex_lock(&run->open_lock);
-	g_hash_table_remove(run->open, &id);
-	pthread_mutex_unlock(&run->open_lock);
+	pthread_mutex_lock(&run->exchanges_lock);
+	g_hash_table_remove(run->exchanges, &id);
+	pthread_mutex_unlock(&run->exchanges_lock);
 }
 
-/* ---- Settings into the node's configuration ---- */
+/* ---- The node's configuration, from the settings ---- */
 
 static void fill_self(struct fg_listed *self, const struct fg_settings *s)
 {
@@ -116,7 +116,7 @@
 	fill_switches(&conf->switches, &s->switches);
 }
 
-/* ---- Life ---- */
+/* ---- Lifetime ---- */
 
 static void on_msg(void *arg, uint64_t from, const fg_msg *msg)
 {
@@ -140,7 +140,8 @@
 	run->peer = fg_peer_start(&conf, on_msg, run, &cause);
 	if (run->peer != NULL)
 		return true;
-	g_set_error(error, FG_RUN_ERROR, FG_RUN_ERR_LISTEN, "rpc %s: %s",
+	g_set_error(error, FG_RUN_ERROR, FG_RUN_ERR_LISTEN,
+		    "cannot start the peer server at %s: %s",
 		    run->settings->rpc, cause->message);
 	g_error_free(cause);
 	return false;
@@ -156,8 +157,8 @@
 				       run->settings->name, &cause);
 	if (run->history != NULL)
 		return true;
-	g_set_error(error, FG_RUN_ERROR, FG_RUN_ERR_HISTORY, "history: %s",
-		    cause->message);
+	g_set_error(error, FG_RUN_ERROR, FG_RUN_ERR_HISTORY,
+		    "cannot start without the history: %s", cause->message);
 	g_error_free(cause);
 	return false;
 }
@@ -167,7 +168,7 @@
 	fg_exchange_unref(x);
 }
 
-static uint64_t boot_nonce(const struct fg_run *run)
+static uint64_t make_boot_nonce(const struct fg_run *run)
 {
 	uint64_t pid = (uint64_t)getpid();
 
@@ -176,7 +177,7 @@
 	       1;
 }
 
-static struct fg_run *make_run(const struct fg_settings *s)
+static struct fg_run *create_run(const struct fg_settings *s)
 {
 	struct fg_run *run = g_new0(struct fg_run, 1);
 	struct fg_node_conf conf = { 0 };
@@ -185,21 +186,21 @@
 
 	run->settings = s;
 	fill_self(&run->self, s);
-	boot = boot_nonce(run);
-	pthread_mutex_init(&run->core, NULL);
-	pthread_mutex_init(&run->open_lock, NULL);
-	run->open = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					  free_exchange);
+	boot = make_boot_nonce(run);
+	pthread_mutex_init(&run->node_lock, NULL);
+	pthread_mutex_init(&run->exchanges_lock, NULL);
+	run->exchanges = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+					       NULL, free_exchange);
 	run->endpoints = &fg_endpoint_http_ops;
-	fg_run_make_metrics(run);
+	fg_run_create_metrics(run);
 	run->platform = fg_platform_http_new(s->platform, s->name,
 					     s->timing.platform_timeout_ms);
-	run->table_pool =
+	run->platform_pool =
 		fg_pool_new(s->limits.table_in_flight_max, STACK_BYTES);
-	run->order_pool = fg_pool_new(ORDER_THREADS_MAX, STACK_BYTES);
+	run->engine_pool = fg_pool_new(ORDER_THREADS_MAX, STACK_BYTES);
 	run->run_pool = fg_pool_new(s->limits.requests_max, STACK_BYTES);
-	run->test_hooks = g_strcmp0(g_getenv(FG_TEST_ENV), FG_TEST_ON) == 0;
-	fg_run_fill_io(run, &io);
+	run->test_hooks = g_strcmp0(g_getenv(FG_TEST_ENV), TEST_HOOKS_ON) == 0;
+	fg_run_fill_node_io(run, &io);
 	fill_conf(&conf, run, boot);
 	run->node = fg_node_new(&conf, &io, boot);
 	fg_node_set_wall_offset(run->node, fg_clock_wall() - fg_clock_now());
@@ -211,7 +212,7 @@
 	struct fg_run *run;
 
 	fg_http_init();
-	run = make_run(settings);
+	run = create_run(settings);
 	if (open_history(run, error) && start_peer(run, error) &&
 	    fg_web_start(run, error))
 		return run;
@@ -229,21 +230,21 @@
 void fg_run_stop(struct fg_run *run)
 {
 	fg_run_lock(run);
-	run->stop_begun = fg_clock_now();
-	fg_node_stop(run->node, run->stop_begun);
+	run->stop_begun_at = fg_clock_now();
+	fg_node_stop(run->node, run->stop_begun_at);
 	fg_run_unlock(run);
 }
 
-/* An answer that the node has given may still be on its way to a caller with
- * a slow link. */
-static bool web_drained(const struct fg_run *run)
+/* True when all answers are sent. A caller with a slow connection may still be
+ * reading an answer after the node has stopped. */
+static bool is_web_drained(const struct fg_run *run)
 {
 	const struct fg_settings *s = run->settings;
 
 	if (s->switches.no_drain ||
-	    fg_clock_now() - run->stop_begun >= s->timing.stop_max_ms)
+	    fg_clock_now() - run->stop_begun_at >= s->timing.stop_max_ms)
 		return true;
-	return __atomic_load_n(&run->in_web, __ATOMIC_ACQUIRE) == 0;
+	return __atomic_load_n(&run->http_in_flight, __ATOMIC_ACQUIRE) == 0;
 }
 
 bool fg_run_is_stopped(struct fg_run *run)
@@ -258,21 +259,21 @@
 	if (!run->quiesced)
 		fg_web_quiesce(run);
 	run->quiesced = true;
-	return web_drained(run);
+	return is_web_drained(run);
 }
 
-/* The node is freed last: work in the pools still reports to it. */
+/* The pools end before the node is freed, since their jobs report to it. */
 void fg_run_free(struct fg_run *run)
 {
 	uint32_t in_progress;
 
 	if (run == NULL)
 		return;
-	in_progress = __atomic_load_n(&run->in_web, __ATOMIC_ACQUIRE);
+	in_progress = __atomic_load_n(&run->http_in_flight, __ATOMIC_ACQUIRE);
 	fg_web_stop(run);
 	fg_pool_free(run->run_pool);
-	fg_pool_free(run->order_pool);
-	fg_pool_free(run->table_pool);
+	fg_pool_free(run->engine_pool);
+	fg_pool_free(run->platform_pool);
 	if (run->peer != NULL)
 		fg_peer_stop(run->peer);
 	fg_history_add(run->history, "stop_end",
@@ -280,9 +281,9 @@
 	fg_node_free(run->node);
 	fg_metrics_free(run->metrics);
 	run->platform->ops->free(run->platform);
-	g_hash_table_destroy(run->open);
+	g_hash_table_destroy(run->exchanges);
 	fg_history_close(run->history);
-	pthread_mutex_destroy(&run->core);
-	pthread_mutex_destroy(&run->open_lock);
+	pthread_mutex_destroy(&run->node_lock);
+	pthread_mutex_destroy(&run->exchanges_lock);
 	g_free(run);
 }
--- a/lib/run/fg_run_internal.h
+++ b/lib/run/fg_run_internal.h
@@ -1,4 +1,4 @@
-/* fg_run_internal - shared by the files of lib/run alone. */
+/* fg_run_internal - declarations shared by the files of lib/run only. */
 #ifndef FG_RUN_INTERNAL_H
 #define FG_RUN_INTERNAL_H
 
@@ -13,7 +13,7 @@
 
 struct fg_run {
 	const struct fg_settings *settings;
-	pthread_mutex_t core; /* guards node */
+	pthread_mutex_t node_lock; /* guards node */
 	struct fg_node *node;
 	struct fg_listed self;
 	struct fg_platform *platform;
@@ -21,57 +21,80 @@
 	struct fg_peer *peer;
 	struct fg_history *history;
 	struct fg_metrics *metrics;
-	struct fg_hist *latency[FG_CLASS_COUNT]; /* ms, by class */
-	struct fg_pool *table_pool;		 /* platform calls */
-	struct fg_pool *order_pool; /* orders to and states of engines */
-	struct fg_pool *run_pool;   /* attempts of requests */
+	struct fg_hist *latency_ms[FG_CLASS_COUNT];
+	struct fg_pool *platform_pool;
+	struct fg_pool *engine_pool; /* orders to engines, reads of state */
+	struct fg_pool *run_pool;    /* attempts of requests */
 	struct MHD_Daemon *daemon;
 	struct MHD_Daemon *control_daemon; /* NULL without an address */
-	pthread_mutex_t open_lock;	   /* guards open; taken after core */
-	GHashTable *open;		   /* id -> struct fg_exchange */
-	uint64_t next_id;		   /* atomic */
-	uint32_t in_web;  /* atomic: requests whose answer is not sent yet */
-	fg_ms stop_begun; /* 0: not stopping */
-	bool quiesced;	  /* no more connections are accepted */
-	bool test_hooks;  /* FG_TEST=1 */
+	pthread_mutex_t exchanges_lock;	   /* guards exchanges; taken after
+					    * node_lock */
+	GHashTable *exchanges;	 /* id -> struct fg_exchange, not answered */
+	uint64_t last_id;	 /* atomic */
+	uint32_t http_in_flight; /* atomic; POST requests whose answer is not
+				  * sent yet */
+	fg_ms stop_begun_at;	 /* 0: not stopping */
+	bool quiesced;		 /* no more connections are accepted */
+	bool test_hooks;	 /* FG_TEST=1 */
 };
 
 /* ---- fg_run.c ---- */
+
 void fg_run_lock(struct fg_run *run);
 void fg_run_unlock(struct fg_run *run);
-/* Registers an exchange until its answer came. */
-void fg_run_open(struct fg_run *run, struct fg_exchange *x);
-/* A new reference, or NULL. */
-struct fg_exchange *fg_run_find(struct fg_run *run, uint64_t id);
-void fg_run_closed(struct fg_run *run, uint64_t id);
+
+/* Registers an exchange until it is answered. Takes a reference. */
+void fg_run_add_exchange(struct fg_run *run, struct fg_exchange *x);
+
+/* Returns a new reference, or NULL if the exchange is not registered. */
+struct fg_exchange *fg_run_find_exchange(struct fg_run *run, uint64_t id);
+
+/* Drops the reference of a registered exchange. */
+void fg_run_remove_exchange(struct fg_run *run, uint64_t id);
 
 /* ---- fg_run_io.c ---- */
-/* The node's actions, carried out by pools of threads. */
-void fg_run_fill_io(struct fg_run *run, struct fg_node_io *io);
+
+/* Sets the node's callbacks, which run their work on pools of threads. */
+void fg_run_fill_node_io(struct fg_run *run, struct fg_node_io *io);
 
 /* ---- fg_web.c ---- */
+
+/* Listens for callers and, if configured, for operators. */
 bool fg_web_start(struct fg_run *run, GError **error);
-/* Accepts no more connections; those that are open go on. */
+
+/* Accepts no more connections of callers. Open connections continue. */
 void fg_web_quiesce(struct fg_run *run);
+
+/* Answers open exchanges with UNKNOWN and ends the HTTP threads. */
 void fg_web_stop(struct fg_run *run);
 
 /* ---- fg_web_calls.c ---- */
-/* A request that is answered later: submits it. Returns false with status and
- * text (g_malloc'ed) when it is refused at once. */
+
+/* Handles a POST. Returns true if the exchange will be answered later.
+ * Otherwise sets *status and *text (to be freed with g_free()) to the answer.
+ */
 bool fg_web_submit(struct fg_run *run, struct fg_exchange *x, const char *path,
 		   uint32_t *status, char **text);
-/* A call that is answered at once; NULL when there is no such path. */
-char *fg_web_read(struct fg_run *run, struct MHD_Connection *c,
-		  const char *path, uint32_t *status);
+
+/* Handles a GET. Returns the answer, to be freed with g_free(), or NULL if the
+ * path does not exist. */
+char *fg_web_get(struct fg_run *run, struct MHD_Connection *c, const char *path,
+		 uint32_t *status);
 
 /* ---- fg_web_json.c ---- */
+
+/* Both return JSON text, to be freed with g_free(). tag may be NULL. */
 char *fg_web_reply_json(const char *tag, bool plain,
 			const struct fg_reply *reply);
 char *fg_web_error_json(const char *tag, enum fg_reason reason,
 			const char *message);
 
 /* ---- fg_metrics_text.c ---- */
-void fg_run_make_metrics(struct fg_run *run);
-char *fg_run_metrics(struct fg_run *run);
+
+void fg_run_create_metrics(struct fg_run *run);
+
+/* Returns the metrics in the Prometheus text format, to be freed with
+ * g_free(). */
+char *fg_run_render_metrics(struct fg_run *run);
 
 #endif
--- a/lib/run/fg_run_io.c
+++ b/lib/run/fg_run_io.c
@@ -1,38 +1,39 @@
-/* The node's actions, carried out by pools of threads. */
+/* The node's callbacks. Work that blocks runs on pools of threads. */
 #include <string.h>
 
 #include "log/fg_log.h"
 #include "run/fg_run_internal.h"
 
 #define STATE_TIMEOUT_MS 1000
-#define ORDER_FRESH_MS 1000 /* an order older than this is not sent */
+#define ORDER_AGE_MAX_MS 1000 /* older orders are not sent */
 
 /* ---- Requests ---- */
 
 struct run_job {
 	struct fg_run *run;
 	struct fg_run_cmd cmd;
-	fg_ms issued_at;
-	struct fg_exchange *exchange; /* NULL once the caller is gone */
+	fg_ms queued_at;
+	struct fg_exchange *exchange; /* NULL if the caller was gone */
 };
 
-static void on_text(void *arg, const char *piece)
+static void on_piece(void *arg, const char *piece)
 {
 	struct run_job *job = arg;
 	json_t *o = json_pack("{s:s}", "t", piece);
 	char *text = json_dumps(o, JSON_COMPACT);
 	char *line = g_strconcat(text, "\n", NULL);
 
-	fg_exchange_piece(job->exchange, line);
+	fg_exchange_add_piece(job->exchange, line);
 	g_free(line);
 	free(text);
 	json_decref(o);
 }
 
-/* Takes the time that the job waited for a thread off its deadline. */
-static bool still_in_time(struct run_job *job)
+/* Subtracts the time that the job waited for a thread from its time limit.
+ * Returns false if none is left. */
+static bool subtract_queue_time(struct run_job *job)
 {
-	fg_ms waited = fg_clock_now() - job->issued_at;
+	fg_ms waited = fg_clock_now() - job->queued_at;
 
 	if (waited >= job->cmd.run.timeout_ms)
 		return false;
@@ -40,7 +41,7 @@
 	return true;
 }
 
-static void do_run(void *arg)
+static void execute_run(void *arg)
 {
 	struct run_job *job = arg;
 	struct fg_run *run = job->run;
@@ -49,9 +50,9 @@
 	struct fg_run_result res = { .status = FG_RUN_NOT_SENT,
 				     .not_run = true };
 
-	if (still_in_time(job))
+	if (subtract_queue_time(job))
 		run->endpoints->run(&job->cmd.ep, &job->cmd.run,
-				    stream ? on_text : NULL, job,
+				    stream ? on_piece : NULL, job,
 				    x != NULL ? &x->cancel : NULL, &res);
 	fg_run_lock(run);
 	fg_node_on_run_done(run->node, fg_clock_now(), job->cmd.req,
@@ -62,22 +63,22 @@
 	g_free(job);
 }
 
-static void io_run(void *arg, const struct fg_run_cmd *cmd)
+static void io_start_run(void *arg, const struct fg_run_cmd *cmd)
 {
 	struct fg_run *run = arg;
 	struct run_job *job = g_new0(struct run_job, 1);
 
 	job->run = run;
 	job->cmd = *cmd;
-	job->issued_at = fg_clock_now();
-	job->exchange = fg_run_find(run, cmd->req);
-	fg_pool_submit(run->run_pool, do_run, job);
+	job->queued_at = fg_clock_now();
+	job->exchange = fg_run_find_exchange(run, cmd->req);
+	fg_pool_submit(run->run_pool, execute_run, job);
 }
 
 static void io_reply(void *arg, uint64_t id, const struct fg_reply *reply)
 {
 	struct fg_run *run = arg;
-	struct fg_exchange *x = fg_run_find(run, id);
+	struct fg_exchange *x = fg_run_find_exchange(run, id);
 	char *text;
 
 	if (reply->outcome != FG_DONE)
@@ -87,35 +88,35 @@
 	if (x == NULL)
 		return;
 	if (x->cls >= 0 && reply->outcome == FG_DONE)
-		fg_hist_add(run->latency[x->cls],
+		fg_hist_add(run->latency_ms[x->cls],
 			    (uint64_t)(fg_clock_now() - x->began_ms));
 	text = fg_web_reply_json(x->tag, x->plain, reply);
 	fg_exchange_finish(x, fg_http_status(reply->outcome, reply->reason),
 			   reply->retry_after_ms, text);
 	g_free(text);
-	fg_run_closed(run, id);
+	fg_run_remove_exchange(run, id);
 	fg_exchange_unref(x);
 }
 
-/* ---- Orders to engines and their state ---- */
+/* ---- Engines: orders and reads of state ---- */
 
 struct order_job {
 	struct fg_run *run;
 	struct fg_listed ep;
 	struct fg_order order;
-	fg_ms issued_at;
+	fg_ms queued_at;
 	char *adapter;
 	char *version;
 };
 
-static void do_order(void *arg)
+static void execute_order(void *arg)
 {
 	struct order_job *job = arg;
 	enum fg_order_status status;
 
-	/* The lease was checked when the order was issued; a process that
-	 * was paused since then may have lost it. */
-	if (fg_clock_now() - job->issued_at <= ORDER_FRESH_MS)
+	/* The node checked its lease when it queued the order. A process that
+	 * was paused in between may have lost the lease. */
+	if (fg_clock_now() - job->queued_at <= ORDER_AGE_MAX_MS)
 		status = job->run->endpoints->send_order(&job->ep, &job->order);
 	else
 		status = FG_ORDER_NOT_SENT;
@@ -128,7 +129,7 @@
 	g_free(job);
 }
 
-static void io_order(void *arg, const struct fg_order_cmd *cmd)
+static void io_send_order(void *arg, const struct fg_order_cmd *cmd)
 {
 	struct fg_run *run = arg;
 	struct order_job *job = g_new0(struct order_job, 1);
@@ -136,14 +137,14 @@
 	job->run = run;
 	job->ep = cmd->ep;
 	job->order = cmd->order;
-	job->issued_at = fg_clock_now();
+	job->queued_at = fg_clock_now();
 	job->adapter = g_strdup(cmd->order.adapter);
 	job->version = g_strdup(cmd->order.version);
 	job->order.adapter = job->adapter;
 	job->order.version = job->version;
 	if (run->settings->switches.no_fence)
 		job->order.fence = 0;
-	fg_pool_submit(run->order_pool, do_order, job);
+	fg_pool_submit(run->engine_pool, execute_order, job);
 }
 
 struct state_job {
@@ -151,7 +152,7 @@
 	struct fg_listed ep;
 };
 
-static void do_state(void *arg)
+static void execute_state_read(void *arg)
 {
 	struct state_job *job = arg;
 	struct fg_engine_state *st = g_new0(struct fg_engine_state, 1);
@@ -168,14 +169,14 @@
 	g_free(job);
 }
 
-static void io_state(void *arg, const struct fg_listed *ep)
+static void io_read_state(void *arg, const struct fg_listed *ep)
 {
 	struct fg_run *run = arg;
 	struct state_job *job = g_new0(struct state_job, 1);
 
 	job->run = run;
 	job->ep = *ep;
-	fg_pool_submit(run->order_pool, do_state, job);
+	fg_pool_submit(run->engine_pool, execute_state_read, job);
 }
 
 /* ---- Platform ---- */
@@ -185,7 +186,7 @@
 	struct fg_table_op *op;
 };
 
-static void do_table(void *arg)
+static void execute_table_op(void *arg)
 {
 	struct table_job *job = arg;
 	struct fg_platform *p = job->run->platform;
@@ -199,17 +200,17 @@
 	g_free(job);
 }
 
-static void io_table(void *arg, struct fg_table_op *op)
+static void io_run_table_op(void *arg, struct fg_table_op *op)
 {
 	struct fg_run *run = arg;
 	struct table_job *job = g_new0(struct table_job, 1);
 
 	job->run = run;
 	job->op = op;
-	fg_pool_submit(run->table_pool, do_table, job);
+	fg_pool_submit(run->platform_pool, execute_table_op, job);
 }
 
-static void do_list(void *arg)
+static void execute_list_read(void *arg)
 {
 	struct fg_run *run = arg;
 	struct fg_listed *list;
@@ -223,11 +224,11 @@
 	g_free(list);
 }
 
-static void io_list(void *arg)
+static void io_read_list(void *arg)
 {
 	struct fg_run *run = arg;
 
-	fg_pool_submit(run->table_pool, do_list, run);
+	fg_pool_submit(run->platform_pool, execute_list_read, run);
 }
 
 struct announce_job {
@@ -235,7 +236,7 @@
 	bool leaving;
 };
 
-static void do_announce(void *arg)
+static void execute_announce(void *arg)
 {
 	struct announce_job *job = arg;
 	struct fg_listed self = job->run->self;
@@ -252,19 +253,20 @@
 
 	job->run = run;
 	job->leaving = leaving;
-	fg_pool_submit(run->table_pool, do_announce, job);
+	fg_pool_submit(run->platform_pool, execute_announce, job);
 }
 
-/* ---- Peers, operators, events ---- */
+/* ---- Messages, answers to operators, events ---- */
 
-static void io_send(void *arg, const struct fg_listed *to, const fg_msg *msg)
+static void io_send_msg(void *arg, const struct fg_listed *to,
+			const fg_msg *msg)
 {
 	struct fg_run *run = arg;
 
 	fg_peer_send(run->peer, to->id, to->rpc, msg);
 }
 
-static void io_change_answer(void *arg, uint64_t id,
+static void io_answer_change(void *arg, uint64_t id,
 			     enum fg_change_status status, uint64_t revision,
 			     const char *text)
 {
@@ -280,7 +282,7 @@
 		[FG_CHANGE_UNKNOWN] = { "unknown", 504 },
 	};
 	struct fg_run *run = arg;
-	struct fg_exchange *x = fg_run_find(run, id);
+	struct fg_exchange *x = fg_run_find_exchange(run, id);
 	json_t *o;
 	char *out;
 
@@ -293,18 +295,19 @@
 	fg_exchange_finish(x, answers[status].http, 0, out);
 	free(out);
 	json_decref(o);
-	fg_run_closed(run, id);
+	fg_run_remove_exchange(run, id);
 	fg_exchange_unref(x);
 }
 
-/* Events that happen with each healthy request go to the history alone. */
+/* Events of normal request handling are logged at debug level only. The history
+ * records every event. */
 static bool is_routine(const char *name)
 {
 	return strcmp(name, "dispatch") == 0 || strcmp(name, "grant") == 0 ||
 	       strcmp(name, "load") == 0;
 }
 
-static void io_event(void *arg, const char *name, json_t *fields)
+static void io_record_event(void *arg, const char *name, json_t *fields)
 {
 	struct fg_run *run = arg;
 	enum fg_log_level level = is_routine(name) ? FG_LOG_DEBUG : FG_LOG_INFO;
@@ -318,17 +321,17 @@
 	fg_history_add(run->history, name, fields);
 }
 
-void fg_run_fill_io(struct fg_run *run, struct fg_node_io *io)
+void fg_run_fill_node_io(struct fg_run *run, struct fg_node_io *io)
 {
 	io->reply = io_reply;
-	io->start_run = io_run;
-	io->send_order = io_order;
-	io->read_state = io_state;
-	io->run_table_op = io_table;
-	io->read_list = io_list;
+	io->start_run = io_start_run;
+	io->send_order = io_send_order;
+	io->read_state = io_read_state;
+	io->run_table_op = io_run_table_op;
+	io->read_list = io_read_list;
 	io->announce = io_announce;
-	io->send_msg = io_send;
-	io->answer_change = io_change_answer;
-	io->record_event = io_event;
+	io->send_msg = io_send_msg;
+	io->answer_change = io_answer_change;
+	io->record_event = io_record_event;
 	io->arg = run;
 }
--- a/lib/run/fg_web.c
+++ b/lib/run/fg_web.c
@@ -1,4 +1,4 @@
-/* The callers' and operators' interface over HTTP, through libmicrohttpd. */
+/* HTTP interface for callers and operators, on libmicrohttpd. */
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <stdlib.h>
@@ -7,11 +7,11 @@
 
 #include "run/fg_run_internal.h"
 
-#define HTTP_MEMORY_BYTES (32 * 1024) /* of one connection: headers */
+#define CONNECTION_MEMORY_BYTES (32 * 1024) /* mainly for request headers */
 #define HTTP_STACK_BYTES (256 * 1024)
 
-static enum MHD_Result respond(struct MHD_Connection *c, uint32_t status,
-			       char *text)
+static enum MHD_Result send_response(struct MHD_Connection *c, uint32_t status,
+				     char *text)
 {
 	struct MHD_Response *response = MHD_create_response_from_buffer(
 		strlen(text), text, MHD_RESPMEM_MUST_COPY);
@@ -26,10 +26,10 @@
 	return rc;
 }
 
-static enum MHD_Result respond_exchange(struct fg_exchange *x)
+static enum MHD_Result send_exchange_response(struct fg_exchange *x)
 {
 	uint32_t status = MHD_HTTP_OK;
-	struct MHD_Response *response = fg_exchange_response(x, &status);
+	struct MHD_Response *response = fg_exchange_create_response(x, &status);
 	enum MHD_Result rc;
 
 	x->answered = true;
@@ -38,15 +38,17 @@
 	return rc;
 }
 
-/* The whole request is here: hand it to the node and wait for its answer. */
-static enum MHD_Result submit(struct fg_run *run, struct fg_exchange *x,
-			      const char *path)
+/* Submits a complete request. Its connection stays suspended until there is an
+ * answer. */
+static enum MHD_Result submit_exchange(struct fg_run *run,
+				       struct fg_exchange *x, const char *path)
 {
 	uint32_t status = MHD_HTTP_BAD_REQUEST;
 	char *text = NULL;
 
 	x->submitted = true;
-	/* Suspended first: the answer may come before submit returns. */
+	/* The answer may arrive before fg_web_submit() returns, so the
+	 * connection is suspended first. */
 	fg_exchange_suspend(x);
 	if (!fg_web_submit(run, x, path, &status, &text))
 		fg_exchange_finish(x, status, 0, text);
@@ -54,7 +56,8 @@
 	return MHD_YES;
 }
 
-static enum MHD_Result too_large(struct fg_run *run, struct fg_exchange *x)
+static enum MHD_Result reject_too_large(struct fg_run *run,
+					struct fg_exchange *x)
 {
 	char *message = g_strdup_printf("the body is over %u bytes",
 					run->settings->limits.body_max_bytes);
@@ -62,11 +65,11 @@
 
 	g_free(message);
 	x->answered = true;
-	return respond(x->connection, 413, text);
+	return send_response(x->connection, 413, text);
 }
 
-static void take_body(struct fg_run *run, struct fg_exchange *x,
-		      const char *data, size_t len_bytes)
+static void append_body(struct fg_run *run, struct fg_exchange *x,
+			const char *data, size_t len_bytes)
 {
 	if (x->body->len + len_bytes > run->settings->limits.body_max_bytes)
 		x->too_large = true;
@@ -82,24 +85,24 @@
 
 	if (x == NULL) {
 		x = fg_exchange_new(
-			__atomic_add_fetch(&run->next_id, 1, __ATOMIC_RELAXED),
+			__atomic_add_fetch(&run->last_id, 1, __ATOMIC_RELAXED),
 			c);
-		__atomic_add_fetch(&run->in_web, 1, __ATOMIC_RELAXED);
+		__atomic_add_fetch(&run->http_in_flight, 1, __ATOMIC_RELAXED);
 		*state = x;
 		return MHD_YES;
 	}
 	if (*len_bytes > 0) {
-		take_body(run, x, data, *len_bytes);
+		append_body(run, x, data, *len_bytes);
 		*len_bytes = 0;
 		return MHD_YES;
 	}
 	if (x->answered)
 		return MHD_YES;
 	if (x->submitted)
-		return respond_exchange(x);
+		return send_exchange_response(x);
 	if (x->too_large)
-		return too_large(run, x);
-	return submit(run, x, path);
+		return reject_too_large(run, x);
+	return submit_exchange(run, x, path);
 }
 
 static enum MHD_Result on_request(void *arg, struct MHD_Connection *c,
@@ -117,15 +120,15 @@
 	if (strcmp(method, MHD_HTTP_METHOD_GET) != 0) {
 		text = fg_web_error_json(NULL, FG_R_BAD_REQUEST,
 					 "only GET and POST are served");
-		return respond(c, MHD_HTTP_METHOD_NOT_ALLOWED, text);
+		return send_response(c, MHD_HTTP_METHOD_NOT_ALLOWED, text);
 	}
-	text = fg_web_read(run, c, path, &status);
+	text = fg_web_get(run, c, path, &status);
 	if (text == NULL) {
 		text = fg_web_error_json(NULL, FG_R_BAD_REQUEST,
 					 "no such path");
 		status = MHD_HTTP_NOT_FOUND;
 	}
-	return respond(c, status, text);
+	return send_response(c, status, text);
 }
 
 static void on_completed(void *arg, struct MHD_Connection *c, void **state,
@@ -140,17 +143,17 @@
 	fg_exchange_close(x);
 	if (code != MHD_REQUEST_TERMINATED_COMPLETED_OK && x->submitted) {
 		x->cancel = 1;
-		fg_run_closed(run, x->id);
+		fg_run_remove_exchange(run, x->id);
 		fg_run_lock(run);
 		fg_node_on_caller_gone(run->node, fg_clock_now(), x->id);
 		fg_run_unlock(run);
 	}
 	fg_exchange_unref(x);
 	*state = NULL;
-	__atomic_sub_fetch(&run->in_web, 1, __ATOMIC_RELEASE);
+	__atomic_sub_fetch(&run->http_in_flight, 1, __ATOMIC_RELEASE);
 }
 
-/* Parses "IPv4:port"; the settings have checked the form. */
+/* Parses "IPv4:port". The settings module has checked the syntax. */
 static bool parse_addr(const char *text, struct sockaddr_in *out)
 {
 	char host[FG_ADDR_BYTES];
@@ -167,8 +170,8 @@
 	return inet_pton(AF_INET, host, &out->sin_addr) == 1;
 }
 
-static struct MHD_Daemon *listen_at(struct fg_run *run, const char *text,
-				    uint32_t threads)
+static struct MHD_Daemon *start_daemon(struct fg_run *run, const char *text,
+				       uint32_t threads)
 {
 	const struct fg_settings *s = run->settings;
 	struct sockaddr_in addr;
@@ -183,34 +186,34 @@
 		MHD_OPTION_CONNECTION_LIMIT, s->limits.connections_max,
 		MHD_OPTION_CONNECTION_TIMEOUT,
 		MAX(s->limits.header_timeout_ms / 1000, 1),
-		MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)HTTP_MEMORY_BYTES,
-		MHD_OPTION_THREAD_POOL_SIZE, threads,
-		MHD_OPTION_THREAD_STACK_SIZE, (size_t)HTTP_STACK_BYTES,
+		MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+		(size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_THREAD_POOL_SIZE,
+		threads, MHD_OPTION_THREAD_STACK_SIZE, (size_t)HTTP_STACK_BYTES,
 		MHD_OPTION_END);
 }
 
-/* The second address is for operators: it answers while callers use up all
+/* The second address is for operators. It stays reachable while callers use all
  * connections of the first. */
 bool fg_web_start(struct fg_run *run, GError **error)
 {
 	const struct fg_settings *s = run->settings;
 	const char *failed = NULL;
 
-	run->daemon = listen_at(run, s->http, MAX(s->workers, 2));
+	run->daemon = start_daemon(run, s->http, MAX(s->workers, 2));
 	if (run->daemon == NULL)
 		failed = s->http;
 	if (s->control[0] != '\0' && failed == NULL) {
-		run->control_daemon = listen_at(run, s->control, 2);
+		run->control_daemon = start_daemon(run, s->control, 2);
 		if (run->control_daemon == NULL)
 			failed = s->control;
 	}
 	if (failed != NULL)
 		g_set_error(error, FG_RUN_ERROR, FG_RUN_ERR_LISTEN,
-			    "%s: cannot listen", failed);
+			    "cannot listen at %s", failed);
 	return failed == NULL;
 }
 
-static void finish_open(gpointer key, gpointer value, gpointer arg)
+static void finish_as_unknown(gpointer key, gpointer value, gpointer arg)
 {
 	struct fg_exchange *x = value;
 	struct fg_reply reply = {
@@ -233,14 +236,14 @@
 		close(fd);
 }
 
-/* What a stop that ran out of time leaves open is answered UNKNOWN. */
+/* Exchanges are still open if a planned stop reached its time limit. */
 void fg_web_stop(struct fg_run *run)
 {
 	if (run->daemon == NULL)
 		return;
-	pthread_mutex_lock(&run->open_lock);
-	g_hash_table_foreach(run->open, finish_open, NULL);
-	pthread_mutex_unlock(&run->open_lock);
+	pthread_mutex_lock(&run->exchanges_lock);
+	g_hash_table_foreach(run->exchanges, finish_as_unknown, NULL);
+	pthread_mutex_unlock(&run->exchanges_lock);
 	MHD_stop_daemon(run->daemon);
 	run->daemon = NULL;
 	if (run->control_daemon != NULL)
--- a/lib/run/fg_web_calls.c
+++ b/lib/run/fg_web_calls.c
@@ -1,4 +1,4 @@
-/* What each path of the callers' and operators' interface does. */
+/* Handlers for the paths of the HTTP interface. */
 #include <stdarg.h>
 #include <string.h>
 
@@ -32,9 +32,10 @@
 	return MHD_YES;
 }
 
-/* Value of a header; *ok turns false when it is doubled or too long. */
-static const char *header(struct MHD_Connection *c, const char *name,
-			  size_t max_bytes, bool *ok)
+/* Returns the value of a header, or NULL if absent. Sets *ok to false if the
+ * header occurs more than once or its value is too long. */
+static const char *read_header(struct MHD_Connection *c, const char *name,
+			       size_t max_bytes, bool *ok)
 {
 	struct header_count hc = { name, 0 };
 	const char *value;
@@ -48,93 +49,94 @@
 
 /* ---- Bodies ---- */
 
-/* A parsed request, borrowing from its JSON object. */
+/* A request being parsed. The strings of `req` are owned by the connection,
+ * `root` and `body_text`. */
 struct call {
 	struct fg_run *run;
 	struct fg_exchange *x;
 	json_t *root;
 	struct fg_request req;
-	char *body_text;   /* compact JSON of a plain call's body */
-	const char *fault; /* NULL while all is well */
+	char *body_text;   /* compact JSON of a plain service's body */
+	const char *error; /* the first error found; NULL if none */
 };
 
 static void __attribute__((format(printf, 2, 3)))
-set_fault(struct call *call, const char *format, ...)
+set_error(struct call *call, const char *format, ...)
 {
 	va_list args;
 
-	if (call->fault != NULL)
+	if (call->error != NULL)
 		return;
 	va_start(args, format);
-	call->fault = g_strdup_vprintf(format, args);
+	call->error = g_strdup_vprintf(format, args);
 	va_end(args);
 }
 
-/* Refuses unknown fields: a misspelt one must not be ignored. */
-static void check_fields(struct call *call, const char *const *allowed)
+/* A misspelt field must cause an error and not be ignored. */
+static void reject_unknown_fields(struct call *call, const char *const *allowed)
 {
 	const char *name;
 	json_t *value;
 
 	json_object_foreach(call->root, name,
 			    value) if (!g_strv_contains(allowed, name))
-		set_fault(call, "unknown field \"%s\"", name);
+		set_error(call, "unknown field \"%s\"", name);
 }
 
-static const char *text_field(struct call *call, const char *name,
-			      bool required)
+static const char *read_string(struct call *call, const char *name,
+			       bool required)
 {
 	json_t *value = json_object_get(call->root, name);
 
 	if (json_is_string(value))
 		return json_string_value(value);
 	if (value != NULL)
-		set_fault(call, "\"%s\" must be a string", name);
+		set_error(call, "\"%s\" must be a string", name);
 	else if (required)
-		set_fault(call, "\"%s\" is missing", name);
+		set_error(call, "\"%s\" is missing", name);
 	return NULL;
 }
 
-static uint32_t number_field(struct call *call, const char *name, uint32_t def,
-			     uint32_t max)
+static uint32_t read_number(struct call *call, const char *name,
+			    uint32_t default_value, uint32_t max)
 {
 	json_t *value = json_object_get(call->root, name);
 	json_int_t number;
 
 	if (value == NULL)
-		return def;
+		return default_value;
 	number = json_integer_value(value);
 	if (!json_is_integer(value) || number < 1 || number > max) {
-		set_fault(call, "\"%s\" must be a whole number from 1 to %u",
+		set_error(call, "\"%s\" must be a whole number from 1 to %u",
 			  name, max);
-		return def;
+		return default_value;
 	}
 	return (uint32_t)number;
 }
 
-static void read_common(struct call *call)
+static void parse_common(struct call *call)
 {
 	const struct fg_limits_settings *limits = &call->run->settings->limits;
 	struct MHD_Connection *c = call->x->connection;
 	bool ok = true;
 
-	call->req.tag = header(c, "X-Request-Id", TAG_MAX_BYTES, &ok);
+	call->req.tag = read_header(c, "X-Request-Id", TAG_MAX_BYTES, &ok);
 	if (call->req.tag == NULL)
 		call->req.tag = "";
-	call->req.caller = header(c, "X-Caller", CALLER_MAX_BYTES, &ok);
-	call->req.key = header(c, "Idempotency-Key", KEY_MAX_BYTES, &ok);
+	call->req.caller = read_header(c, "X-Caller", CALLER_MAX_BYTES, &ok);
+	call->req.key = read_header(c, "Idempotency-Key", KEY_MAX_BYTES, &ok);
 	if (!ok)
-		set_fault(call, "X-Request-Id, X-Caller or Idempotency-Key is "
+		set_error(call, "X-Request-Id, X-Caller or Idempotency-Key is "
 				"doubled or too long");
 	if (call->req.caller == NULL || call->req.caller[0] == '\0')
-		set_fault(call, "header X-Caller is missing");
+		set_error(call, "header X-Caller is missing");
 	call->x->tag = g_strdup(call->req.tag);
 	call->req.deadline_ms =
-		number_field(call, "deadline_ms", limits->deadline_default_ms,
-			     limits->deadline_max_ms);
+		read_number(call, "deadline_ms", limits->deadline_default_ms,
+			    limits->deadline_max_ms);
 }
 
-static void read_generate(struct call *call)
+static void parse_generate(struct call *call)
 {
 	static const char *const allowed[] = {
 		"adapter", "version",	  "prompt", "max_tokens",
@@ -144,34 +146,34 @@
 	json_t *stream;
 	int parsed;
 
-	check_fields(call, allowed);
-	call->req.adapter = text_field(call, "adapter", true);
-	call->req.version = text_field(call, "version", false);
-	call->req.body = text_field(call, "prompt", true);
+	reject_unknown_fields(call, allowed);
+	call->req.adapter = read_string(call, "adapter", true);
+	call->req.version = read_string(call, "version", false);
+	call->req.body = read_string(call, "prompt", true);
 	call->req.max_tokens =
-		number_field(call, "max_tokens", TOKENS_DEFAULT, TOKENS_MAX);
+		read_number(call, "max_tokens", TOKENS_DEFAULT, TOKENS_MAX);
 	stream = json_object_get(call->root, "stream");
 	if (stream != NULL && !json_is_boolean(stream))
-		set_fault(call, "\"stream\" must be true or false");
+		set_error(call, "\"stream\" must be true or false");
 	call->req.stream = json_is_true(stream);
-	cls = text_field(call, "class", false);
+	cls = read_string(call, "class", false);
 	parsed = cls != NULL ? fg_class_parse(cls) : FG_CLASS_INTERACTIVE;
 	if (parsed != FG_CLASS_INTERACTIVE && parsed != FG_CLASS_DRAFT)
-		set_fault(call, "\"class\" must be interactive or draft");
+		set_error(call, "\"class\" must be interactive or draft");
 	call->req.cls = (enum fg_class)parsed;
 }
 
-static void read_plain(struct call *call, enum fg_class cls)
+static void parse_plain(struct call *call, enum fg_class cls)
 {
 	static const char *const allowed[] = { "service", "body", "deadline_ms",
 					       NULL };
 	json_t *body = json_object_get(call->root, "body");
 
-	check_fields(call, allowed);
+	reject_unknown_fields(call, allowed);
 	call->req.cls = cls;
-	call->req.service = text_field(call, "service", true);
+	call->req.service = read_string(call, "service", true);
 	if (!json_is_object(body))
-		set_fault(call, "\"body\" must be an object");
+		set_error(call, "\"body\" must be an object");
 	else
 		call->body_text =
 			json_dumps(body, JSON_COMPACT | JSON_SORT_KEYS);
@@ -184,7 +186,7 @@
 {
 	json_decref(call->root);
 	free(call->body_text);
-	g_free((char *)call->fault);
+	g_free((char *)call->error);
 }
 
 static bool submit_request(struct call *call, const char *path,
@@ -192,17 +194,17 @@
 {
 	struct fg_run *run = call->run;
 
-	read_common(call);
+	parse_common(call);
 	if (strcmp(path, "/v1/generate") == 0)
-		read_generate(call);
+		parse_generate(call);
 	else
-		read_plain(call, strcmp(path, "/v1/filings") == 0
-					 ? FG_CLASS_FILING
-					 : FG_CLASS_STATUS);
-	if (call->fault != NULL) {
+		parse_plain(call, strcmp(path, "/v1/filings") == 0
+					  ? FG_CLASS_FILING
+					  : FG_CLASS_STATUS);
+	if (call->error != NULL) {
 		*status = 400;
 		*text = fg_web_error_json(call->x->tag, FG_R_BAD_REQUEST,
-					  call->fault);
+					  call->error);
 		return false;
 	}
 	call->req.id = call->x->id;
@@ -210,7 +212,7 @@
 	call->x->plain = call->req.adapter == NULL;
 	call->x->cls = (int)call->req.cls;
 	call->x->began_ms = fg_clock_now();
-	fg_run_open(run, call->x);
+	fg_run_add_exchange(run, call->x);
 	fg_run_lock(run);
 	fg_node_on_request(run->node, fg_clock_now(), &call->req);
 	fg_run_unlock(run);
@@ -226,21 +228,21 @@
 	struct fg_run *run = call->run;
 	json_t *change = json_object_get(call->root, "change");
 	json_t *expect = json_object_get(call->root, "expect_revision");
-	uint32_t wait_ms = number_field(call, "wait_ms",
-					run->settings->timing.change_wait_ms,
-					CHANGE_WAIT_MAX_MS);
+	uint32_t wait_ms = read_number(call, "wait_ms",
+				       run->settings->timing.change_wait_ms,
+				       CHANGE_WAIT_MAX_MS);
 	char *change_text;
 
-	check_fields(call, allowed);
+	reject_unknown_fields(call, allowed);
 	if (!json_is_object(change))
-		set_fault(call, "\"change\" must be an object");
-	if (call->fault != NULL) {
+		set_error(call, "\"change\" must be an object");
+	if (call->error != NULL) {
 		*status = 400;
-		*text = fg_web_error_json(NULL, FG_R_BAD_REQUEST, call->fault);
+		*text = fg_web_error_json(NULL, FG_R_BAD_REQUEST, call->error);
 		return false;
 	}
 	change_text = json_dumps(change, JSON_COMPACT);
-	fg_run_open(run, call->x);
+	fg_run_add_exchange(run, call->x);
 	fg_run_lock(run);
 	fg_node_on_change(run->node, fg_clock_now(), call->x->id, change_text,
 			  (uint64_t)json_integer_value(expect), wait_ms);
@@ -251,12 +253,12 @@
 
 static bool clear_suspect(struct call *call, uint32_t *status, char **text)
 {
-	const char *hex = text_field(call, "fingerprint", true);
+	const char *hex = read_string(call, "fingerprint", true);
 	bool cleared = false;
 
-	*status = call->fault != NULL ? 400 : 200;
-	if (call->fault != NULL) {
-		*text = fg_web_error_json(NULL, FG_R_BAD_REQUEST, call->fault);
+	*status = call->error != NULL ? 400 : 200;
+	if (call->error != NULL) {
+		*text = fg_web_error_json(NULL, FG_R_BAD_REQUEST, call->error);
 		return false;
 	}
 	fg_run_lock(call->run);
@@ -267,20 +269,20 @@
 	return false;
 }
 
-/* Scenario hook: cuts or heals the link to another instance. */
-static bool test_cut(struct call *call, uint32_t *status, char **text)
+/* Test hook: cuts or restores the link to another instance. */
+static bool cut_link(struct call *call, uint32_t *status, char **text)
 {
-	const char *name = text_field(call, "name", true);
+	const char *name = read_string(call, "name", true);
 	bool cut = json_is_true(json_object_get(call->root, "cut"));
 
-	*status = call->fault != NULL ? 400 : 200;
-	if (call->fault == NULL)
+	*status = call->error != NULL ? 400 : 200;
+	if (call->error == NULL)
 		fg_peer_set_cut(call->run->peer, fg_hash_str(name), cut);
 	*text = g_strdup("{}");
 	return false;
 }
 
-/* ---- Dispatch of paths ---- */
+/* ---- POST ---- */
 
 static bool is_request_path(const char *path)
 {
@@ -293,7 +295,7 @@
 		   uint32_t *status, char **text)
 {
 	struct call call = { .run = run, .x = x };
-	bool later = false;
+	bool pending = false;
 
 	call.root = json_loadb(x->body->str, x->body->len,
 			       JSON_REJECT_DUPLICATES, NULL);
@@ -302,25 +304,25 @@
 		*text = fg_web_error_json(NULL, FG_R_BAD_REQUEST,
 					  "the body is not a JSON object");
 	} else if (is_request_path(path)) {
-		later = submit_request(&call, path, status, text);
+		pending = submit_request(&call, path, status, text);
 	} else if (strcmp(path, "/v1/admin/change") == 0) {
-		later = submit_change(&call, status, text);
+		pending = submit_change(&call, status, text);
 	} else if (strcmp(path, "/v1/admin/suspects/clear") == 0) {
-		later = clear_suspect(&call, status, text);
+		pending = clear_suspect(&call, status, text);
 	} else if (run->test_hooks && strcmp(path, "/v1/test/cut") == 0) {
-		later = test_cut(&call, status, text);
+		pending = cut_link(&call, status, text);
 	} else {
 		*status = 404;
 		*text = fg_web_error_json(NULL, FG_R_BAD_REQUEST,
 					  "no such path");
 	}
 	call_free(&call);
-	return later;
+	return pending;
 }
 
-/* ---- Calls answered at once ---- */
+/* ---- GET ---- */
 
-static char *to_text(json_t *o, size_t flags)
+static char *dump_json(json_t *o, size_t flags)
 {
 	char *dumped = json_dumps(o, flags);
 	char *text = g_strdup(dumped);
@@ -330,7 +332,7 @@
 	return text;
 }
 
-static char *read_address(struct fg_run *run, struct MHD_Connection *c)
+static char *get_addresses(struct fg_run *run, struct MHD_Connection *c)
 {
 	const char *adapter = MHD_lookup_connection_value(
 		c, MHD_GET_ARGUMENT_KIND, "adapter");
@@ -348,22 +350,22 @@
 	fg_run_unlock(run);
 	for (size_t i = 0; i < n; i++)
 		json_array_append_new(list, json_string(addresses[i]));
-	return to_text(json_pack("{s:o,s:i}", "addresses", list, "ttl_ms",
-				 (int)ttl_ms),
-		       JSON_COMPACT);
+	return dump_json(json_pack("{s:o,s:i}", "addresses", list, "ttl_ms",
+				   (int)ttl_ms),
+			 JSON_COMPACT);
 }
 
-static char *read_state(struct fg_run *run)
+static char *get_state(struct fg_run *run)
 {
 	json_t *dump;
 
 	fg_run_lock(run);
 	dump = fg_node_dump(run->node, fg_clock_now());
 	fg_run_unlock(run);
-	return to_text(dump, JSON_INDENT(2));
+	return dump_json(dump, JSON_INDENT(2));
 }
 
-static char *read_catalogue(struct fg_run *run)
+static char *get_catalogue(struct fg_run *run)
 {
 	char *text;
 
@@ -373,17 +375,17 @@
 	return text;
 }
 
-char *fg_web_read(struct fg_run *run, struct MHD_Connection *c,
-		  const char *path, uint32_t *status)
+char *fg_web_get(struct fg_run *run, struct MHD_Connection *c, const char *path,
+		 uint32_t *status)
 {
 	*status = 200;
 	if (strcmp(path, "/v1/address") == 0)
-		return read_address(run, c);
+		return get_addresses(run, c);
 	if (strcmp(path, "/v1/state") == 0)
-		return read_state(run);
+		return get_state(run);
 	if (strcmp(path, "/v1/admin/catalogue") == 0)
-		return read_catalogue(run);
+		return get_catalogue(run);
 	if (strcmp(path, "/metrics") == 0)
-		return fg_run_metrics(run);
+		return fg_run_render_metrics(run);
 	return NULL;
 }
--- a/lib/run/fg_web_json.c
+++ b/lib/run/fg_web_json.c
@@ -1,9 +1,9 @@
-/* JSON texts of answers to callers. */
+/* Answers to callers as JSON text. */
 #include <jansson.h>
 
 #include "run/fg_run_internal.h"
 
-static void set_text(json_t *o, const char *name, const char *text)
+static void set_string(json_t *o, const char *name, const char *text)
 {
 	if (text != NULL)
 		json_object_set_new(o, name, json_string(text));
@@ -16,7 +16,7 @@
 	if (reply->text == NULL)
 		return;
 	if (!plain) {
-		set_text(o, "text", reply->text);
+		set_string(o, "text", reply->text);
 		json_object_set_new(o, "tokens", json_integer(reply->tokens));
 		return;
 	}
@@ -34,20 +34,20 @@
 	char *dumped;
 	char *text;
 
-	set_text(o, "adapter", reply->adapter);
-	set_text(o, "version", reply->version);
+	set_string(o, "adapter", reply->adapter);
+	set_string(o, "version", reply->version);
 	set_answer(o, plain, reply);
 	if (plain)
 		json_object_set_new(o, "replayed",
 				    json_boolean(reply->replayed));
 	if (reply->reason != FG_R_NONE) {
-		set_text(o, "reason", fg_reason_code(reply->reason));
-		set_text(o, "message", fg_reason_text(reply->reason));
+		set_string(o, "reason", fg_reason_code(reply->reason));
+		set_string(o, "message", fg_reason_text(reply->reason));
 	}
 	if (reply->retry_after_ms > 0)
 		json_object_set_new(o, "retry_after_ms",
 				    json_integer(reply->retry_after_ms));
-	set_text(o, "address", reply->address);
+	set_string(o, "address", reply->address);
 	dumped = json_dumps(o, JSON_COMPACT);
 	text = g_strdup(dumped);
 	free(dumped);
