--- a/standin/common/si_announce.c
+++ b/standin/common/si_announce.c
@@ -4,7 +4,7 @@
 #include "common/si_fault.h"
 #include "common/si_log.h"
 
-#define ANNOUNCE_EVERY_MS 500
+#define ANNOUNCE_INTERVAL_MS 500
 #define ANNOUNCE_TIMEOUT_MS 2000
 
 struct si_announce {
@@ -14,10 +14,10 @@
 	pthread_cond_t changed;
 	bool stop;
 	fg_ms leaving_since; /* 0: not leaving */
-	bool news;	     /* announce at once */
+	bool announce_now;   /* skip the rest of the interval */
 };
 
-static json_t *describe(struct si_announce *announce, bool leaving)
+static json_t *announcement_json(struct si_announce *announce, bool leaving)
 {
 	const struct si_conf *conf = &announce->proc->conf;
 	bool engine = announce->proc->program->kind == SI_ENGINE;
@@ -32,25 +32,26 @@
 static void announce_once(struct si_announce *announce, CURL *curl,
 			  bool leaving)
 {
-	json_t *body = describe(announce, leaving);
+	json_t *body = announcement_json(announce, leaving);
 
 	si_client_post(announce->proc, curl, announce->proc->conf.platform,
 		       "/instances/announce", body, ANNOUNCE_TIMEOUT_MS);
 	json_decref(body);
 }
 
-/* Waits for the next announcement; returns false when the process stops. */
-static bool wait_for_next(struct si_announce *announce, bool *leaving)
+/* Waits until the next announcement is due; returns false when the process
+ * stops. */
+static bool wait_until_due(struct si_announce *announce, bool *leaving)
 {
-	gint64 end = si_wait_until(ANNOUNCE_EVERY_MS);
+	gint64 end = si_deadline_us(ANNOUNCE_INTERVAL_MS);
 	bool stop;
 
 	pthread_mutex_lock(&announce->lock);
-	while (!announce->stop && !announce->news)
+	while (!announce->stop && !announce->announce_now)
 		if (!si_cond_wait_until(&announce->changed, &announce->lock,
 					end))
 			break;
-	announce->news = false;
+	announce->announce_now = false;
 	*leaving = announce->leaving_since != 0;
 	stop = announce->stop;
 	pthread_mutex_unlock(&announce->lock);
@@ -64,10 +65,10 @@
 	bool leaving = false;
 
 	do {
-		if (!si_fault_thawed(announce->proc->fault))
+		if (!si_fault_wait_unfrozen(announce->proc->fault))
 			break;
 		announce_once(announce, curl, leaving);
-	} while (wait_for_next(announce, &leaving));
+	} while (wait_until_due(announce, &leaving));
 	curl_easy_cleanup(curl);
 	return NULL;
 }
@@ -88,7 +89,7 @@
 	pthread_mutex_lock(&announce->lock);
 	if (announce->leaving_since == 0) {
 		announce->leaving_since = fg_clock_now();
-		announce->news = true;
+		announce->announce_now = true;
 		pthread_cond_broadcast(&announce->changed);
 		si_log_event(announce->proc->log, "leaving", json_object());
 	}
--- a/standin/common/si_client.c
+++ b/standin/common/si_client.c
@@ -2,15 +2,15 @@
 
 #include <stdlib.h>
 
-static size_t ignore_answer(char *data, size_t size, size_t n, void *arg)
+static size_t discard_answer(char *data, size_t size, size_t n, void *arg)
 {
 	(void)data;
 	(void)arg;
 	return size * n;
 }
 
-static int stop_early(void *arg, curl_off_t dl_total, curl_off_t dl_now,
-		      curl_off_t ul_total, curl_off_t ul_now)
+static int abort_if_stopping(void *arg, curl_off_t dl_total, curl_off_t dl_now,
+			     curl_off_t ul_total, curl_off_t ul_now)
 {
 	(void)dl_total;
 	(void)dl_now;
@@ -42,13 +42,13 @@
 	curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(curl, CURLOPT_POSTFIELDS, text);
-	/* libcurl would repeat it when a kept connection breaks. */
+	/* libcurl repeats a request when a kept connection breaks. */
 	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, 1L);
 	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, 1L);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, ignore_answer);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, discard_answer);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
 	curl_easy_setopt(curl, CURLOPT_NOPROGRESS, 0L);
-	curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, stop_early);
+	curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, abort_if_stopping);
 	curl_easy_setopt(curl, CURLOPT_XFERINFODATA, proc);
 	if (curl_easy_perform(curl) == CURLE_OK)
 		curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
--- a/standin/common/si_fault.c
+++ b/standin/common/si_fault.c
@@ -12,13 +12,13 @@
 	fg_ms outage_until;
 	fg_ms frozen_until;
 	int64_t slow_ms;
-	int64_t slow_count; /* COUNT_UNLIMITED until it is set anew */
-	char *slow_match;   /* text in the request's body, "" for any */
+	int64_t slow_count; /* answers left, or COUNT_UNLIMITED */
+	char *slow_match;   /* text in the request body; "": any body */
 	int64_t drop_count;
-	char *drop_path;     /* "" for any */
-	char *drop_match;    /* as slow_match */
-	GHashTable *cut_off; /* set of instance names */
-	int64_t counted[SI_COUNTED_COUNT];
+	char *drop_path;	   /* "": any path */
+	char *drop_match;	   /* like slow_match */
+	GHashTable *cut_instances; /* set of instance names */
+	int64_t counted[SI_FAULT_KINDS];
 };
 
 struct si_fault *si_fault_new(struct si_proc *proc)
@@ -30,7 +30,7 @@
 	fault->drop_path = g_strdup("");
 	fault->drop_match = g_strdup("");
 	fault->slow_match = g_strdup("");
-	fault->cut_off =
+	fault->cut_instances =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return fault;
 }
@@ -39,7 +39,7 @@
 {
 	if (!fault)
 		return;
-	g_hash_table_destroy(fault->cut_off);
+	g_hash_table_destroy(fault->cut_instances);
 	g_free(fault->drop_path);
 	g_free(fault->drop_match);
 	g_free(fault->slow_match);
@@ -52,7 +52,7 @@
 	fault->outage_until = fg_clock_now() + si_field_int(body, "ms", 0);
 }
 
-static void set_text(char **text, json_t *body, const char *field)
+static void set_field_text(char **text, json_t *body, const char *field)
 {
 	g_free(*text);
 	*text = g_strdup(si_field_str(body, field));
@@ -62,24 +62,25 @@
 {
 	fault->slow_ms = si_field_int(body, "ms", 0);
 	fault->slow_count = si_field_int(body, "count", COUNT_UNLIMITED);
-	set_text(&fault->slow_match, body, "match");
+	set_field_text(&fault->slow_match, body, "match");
 }
 
 static void op_drop_answer(struct si_fault *fault, json_t *body)
 {
 	fault->drop_count = si_field_int(body, "count", 1);
-	set_text(&fault->drop_path, body, "path");
-	set_text(&fault->drop_match, body, "match");
+	set_field_text(&fault->drop_path, body, "path");
+	set_field_text(&fault->drop_match, body, "match");
 }
 
 static void op_cut(struct si_fault *fault, json_t *body)
 {
-	g_hash_table_add(fault->cut_off, g_strdup(si_field_str(body, "name")));
+	g_hash_table_add(fault->cut_instances,
+			 g_strdup(si_field_str(body, "name")));
 }
 
 static void op_heal(struct si_fault *fault, json_t *body)
 {
-	g_hash_table_remove(fault->cut_off, si_field_str(body, "name"));
+	g_hash_table_remove(fault->cut_instances, si_field_str(body, "name"));
 }
 
 static void op_crash(struct si_fault *fault, json_t *body)
@@ -96,22 +97,22 @@
 
 static void op_truncate(struct si_fault *fault, json_t *body)
 {
-	fault->counted[SI_TRUNCATE] = si_field_int(body, "count", 1);
+	fault->counted[SI_FAULT_TRUNCATE] = si_field_int(body, "count", 1);
 }
 
 static void op_garble(struct si_fault *fault, json_t *body)
 {
-	fault->counted[SI_GARBLE] = si_field_int(body, "count", 1);
+	fault->counted[SI_FAULT_GARBLE] = si_field_int(body, "count", 1);
 }
 
 static void op_refuse(struct si_fault *fault, json_t *body)
 {
-	fault->counted[SI_REFUSE] = si_field_int(body, "count", 1);
+	fault->counted[SI_FAULT_REFUSE] = si_field_int(body, "count", 1);
 }
 
 static void op_fail_load(struct si_fault *fault, json_t *body)
 {
-	fault->counted[SI_FAIL_LOAD] = si_field_int(body, "count", 1);
+	fault->counted[SI_FAULT_FAIL_LOAD] = si_field_int(body, "count", 1);
 }
 
 #define ANY_KIND (SI_PLATFORM | SI_ENGINE | SI_PLAIN)
@@ -134,7 +135,7 @@
 	{ "fail_load", SI_ENGINE, op_fail_load },
 };
 
-bool si_fault_op(struct si_fault *fault, const char *op, json_t *body)
+bool si_fault_apply_op(struct si_fault *fault, const char *op, json_t *body)
 {
 	uint32_t kind = fault->proc->program->kind;
 
@@ -149,7 +150,7 @@
 	return false;
 }
 
-static fg_ms frozen_left_ms(struct si_fault *fault)
+static fg_ms freeze_remaining_ms(struct si_fault *fault)
 {
 	fg_ms left;
 
@@ -159,11 +160,11 @@
 	return left;
 }
 
-bool si_fault_thawed(struct si_fault *fault)
+bool si_fault_wait_unfrozen(struct si_fault *fault)
 {
 	fg_ms left;
 
-	while ((left = frozen_left_ms(fault)) > 0)
+	while ((left = freeze_remaining_ms(fault)) > 0)
 		if (!si_proc_sleep(fault->proc, left))
 			return false;
 	return true;
@@ -171,40 +172,40 @@
 
 bool si_fault_before_run(struct si_fault *fault, const char *instance)
 {
-	bool cut_off;
+	bool is_cut;
 
-	if (!si_fault_thawed(fault))
+	if (!si_fault_wait_unfrozen(fault))
 		return false;
 	pthread_mutex_lock(&fault->lock);
-	cut_off = g_hash_table_contains(fault->cut_off, instance);
+	is_cut = g_hash_table_contains(fault->cut_instances, instance);
 	pthread_mutex_unlock(&fault->lock);
-	return !cut_off;
+	return !is_cut;
 }
 
-static bool holds(const char *body, const char *match)
+static bool body_matches(const char *body, const char *match)
 {
 	return *match == '\0' || strstr(body, match) != NULL;
 }
 
-static int64_t take_delay_ms(struct si_fault *fault, const char *body)
+static int64_t consume_delay_ms(struct si_fault *fault, const char *body)
 {
 	if (fault->slow_ms <= 0 || fault->slow_count == 0)
 		return 0;
-	if (!holds(body, fault->slow_match))
+	if (!body_matches(body, fault->slow_match))
 		return 0;
 	if (fault->slow_count > 0)
 		fault->slow_count--;
 	return fault->slow_ms;
 }
 
-static bool take_drop(struct si_fault *fault, const char *path,
-		      const char *body)
+static bool consume_drop(struct si_fault *fault, const char *path,
+			 const char *body)
 {
 	if (fault->drop_count <= 0)
 		return false;
 	if (*fault->drop_path && strcmp(fault->drop_path, path) != 0)
 		return false;
-	if (!holds(body, fault->drop_match))
+	if (!body_matches(body, fault->drop_match))
 		return false;
 	fault->drop_count--;
 	return true;
@@ -217,15 +218,15 @@
 	bool drop;
 
 	pthread_mutex_lock(&fault->lock);
-	delay_ms = take_delay_ms(fault, body);
-	drop = take_drop(fault, path, body);
+	delay_ms = consume_delay_ms(fault, body);
+	drop = consume_drop(fault, path, body);
 	pthread_mutex_unlock(&fault->lock);
 	if (delay_ms > 0 && !si_proc_sleep(fault->proc, delay_ms))
 		return false;
-	return si_fault_thawed(fault) && !drop;
+	return si_fault_wait_unfrozen(fault) && !drop;
 }
 
-bool si_fault_outage(struct si_fault *fault)
+bool si_fault_is_outage(struct si_fault *fault)
 {
 	bool outage;
 
@@ -235,7 +236,7 @@
 	return outage;
 }
 
-bool si_fault_take(struct si_fault *fault, enum si_counted which)
+bool si_fault_consume(struct si_fault *fault, enum si_counted_fault which)
 {
 	bool taken;
 
--- a/standin/common/si_fault.h
+++ b/standin/common/si_fault.h
@@ -1,7 +1,8 @@
 /*
- * si_fault - the faults that stand-ins share, armed at the control address.
+ * si_fault - faults common to all stand-ins, injected at the control address.
  *
- * Counted faults hit the next `count` answers; timed ones last `ms`.
+ * Counted faults affect the next `count` answers; timed ones last `ms`. All
+ * functions may be called from any thread.
  */
 #ifndef SI_FAULT_H
 #define SI_FAULT_H
@@ -11,16 +12,16 @@
 
 #include "common/si_proc.h"
 
-/* Bytes that are no JSON. */
+/* Replaces an answer, or a line of it; not valid JSON. */
 #define SI_GARBLE_TEXT "\x01\x02<garbled answer>\x03"
 
-/* Faults that hit a number of answers and need no further argument. */
-enum si_counted {
-	SI_TRUNCATE = 0,
-	SI_GARBLE = 1,
-	SI_REFUSE = 2,
-	SI_FAIL_LOAD = 3,
-	SI_COUNTED_COUNT = 4,
+/* Faults that affect a number of answers and have no other argument. */
+enum si_counted_fault {
+	SI_FAULT_TRUNCATE = 0,
+	SI_FAULT_GARBLE = 1,
+	SI_FAULT_REFUSE = 2,
+	SI_FAULT_FAIL_LOAD = 3,
+	SI_FAULT_KINDS = 4,
 };
 
 struct si_fault;
@@ -28,24 +29,28 @@
 struct si_fault *si_fault_new(struct si_proc *proc);
 void si_fault_free(struct si_fault *fault);
 
-/* Carries out a control operation; false when it is unknown here. */
-bool si_fault_op(struct si_fault *fault, const char *op, json_t *body);
+/* Applies a control operation. Returns false when this kind of stand-in does
+ * not know it. */
+bool si_fault_apply_op(struct si_fault *fault, const char *op, json_t *body);
 
-/* Waits out a freeze. Returns false when the connection must be closed: the
- * process stops, or the instance is cut off. */
+/* Call before handling a request; blocks while the process is frozen. Returns
+ * false when the connection must be closed without an answer: the process
+ * stops, or `instance` is cut off. */
 bool si_fault_before_run(struct si_fault *fault, const char *instance);
 
-/* Waits out a freeze and the delay of slow answers. Returns false when this
- * answer must be dropped and the connection closed. body is the request's. */
+/* Call before answering; blocks during the delay of slow answers and while the
+ * process is frozen. Returns false when the connection must be closed without
+ * an answer. path and body are those of the request. */
 bool si_fault_before_answer(struct si_fault *fault, const char *path,
 			    const char *body);
 
-/* Waits out a freeze; returns false when the process stops. */
-bool si_fault_thawed(struct si_fault *fault);
+/* Blocks while the process is frozen; returns false when it stops. */
+bool si_fault_wait_unfrozen(struct si_fault *fault);
 
-bool si_fault_outage(struct si_fault *fault);
+/* True during an outage of the platform. */
+bool si_fault_is_outage(struct si_fault *fault);
 
-/* Takes one of a counted fault; false when none is left. */
-bool si_fault_take(struct si_fault *fault, enum si_counted which);
+/* Uses up one occurrence of a counted fault; false when none is left. */
+bool si_fault_consume(struct si_fault *fault, enum si_counted_fault which);
 
 #endif
--- a/standin/common/si_http.c
+++ b/standin/common/si_http.c
@@ -17,10 +17,10 @@
 	struct MHD_Daemon *daemon;
 	const struct si_route *routes;
 	size_t n_routes;
-	bool faulty;
+	bool faults_apply;
 };
 
-const char *si_query(struct si_req *req, const char *name)
+const char *si_query_arg(struct si_req *req, const char *name)
 {
 	return MHD_lookup_connection_value(req->conn, MHD_GET_ARGUMENT_KIND,
 					   name);
@@ -40,7 +40,7 @@
 	return json_is_integer(v) ? json_integer_value(v) : fallback;
 }
 
-enum MHD_Result si_close(struct si_req *req)
+enum MHD_Result si_close_connection(struct si_req *req)
 {
 	(void)req;
 	return MHD_NO;
@@ -57,42 +57,42 @@
 	return ret;
 }
 
-/* An answer that ends in its middle. */
-struct half {
+/* A body of which only the first half is sent. */
+struct truncated_body {
 	char *text;
 	size_t len_bytes;
 };
 
-static ssize_t read_half(void *arg, uint64_t pos, char *buf, size_t max)
+static ssize_t read_truncated(void *arg, uint64_t pos, char *buf, size_t max)
 {
-	struct half *half = arg;
-	size_t n = half->len_bytes / 2;
+	struct truncated_body *body = arg;
+	size_t n = body->len_bytes / 2;
 
 	if (pos >= n)
 		return MHD_CONTENT_READER_END_WITH_ERROR;
 	n -= pos;
 	if (n > max)
 		n = max;
-	memcpy(buf, half->text + pos, n);
+	memcpy(buf, body->text + pos, n);
 	return (ssize_t)n;
 }
 
-static void free_half(void *arg)
+static void free_truncated(void *arg)
 {
-	struct half *half = arg;
+	struct truncated_body *body = arg;
 
-	g_free(half->text);
-	g_free(half);
+	g_free(body->text);
+	g_free(body);
 }
 
-static struct MHD_Response *half_response(char *text)
+static struct MHD_Response *truncated_response(char *text)
 {
-	struct half *half = g_new0(struct half, 1);
+	struct truncated_body *body = g_new0(struct truncated_body, 1);
 
-	half->text = text;
-	half->len_bytes = strlen(text);
-	return MHD_create_response_from_callback(half->len_bytes, 1024,
-						 read_half, half, free_half);
+	body->text = text;
+	body->len_bytes = strlen(text);
+	return MHD_create_response_from_callback(
+		body->len_bytes, 1024, read_truncated, body, free_truncated);
 }
 
 static struct MHD_Response *text_response(char *text)
@@ -108,23 +108,25 @@
 enum MHD_Result si_answer_text(struct si_req *req, uint32_t status, char *text)
 {
 	struct si_fault *fault = req->proc->fault;
-	bool work = req->faulty && (req->route->flags & SI_WORK);
+	bool work = req->faults_apply && (req->route->flags & SI_ROUTE_WORK);
 
-	if (req->faulty &&
+	if (req->faults_apply &&
 	    !si_fault_before_answer(fault, req->path, req->raw->str)) {
 		g_free(text);
-		return si_close(req);
+		return si_close_connection(req);
 	}
-	if (work && si_fault_take(fault, SI_GARBLE)) {
+	if (work && si_fault_consume(fault, SI_FAULT_GARBLE)) {
 		g_free(text);
 		text = g_strdup(SI_GARBLE_TEXT);
 	}
-	if (work && si_fault_take(fault, SI_TRUNCATE))
-		return si_answer_response(req, status, half_response(text));
+	if (work && si_fault_consume(fault, SI_FAULT_TRUNCATE))
+		return si_answer_response(req, status,
+					  truncated_response(text));
 	return si_answer_response(req, status, text_response(text));
 }
 
-enum MHD_Result si_answer(struct si_req *req, uint32_t status, json_t *body)
+enum MHD_Result si_answer_json(struct si_req *req, uint32_t status,
+			       json_t *body)
 {
 	char *dump = json_dumps(body, JSON_COMPACT);
 	char *text = g_strdup(dump);
@@ -137,16 +139,16 @@
 enum MHD_Result si_answer_error(struct si_req *req, uint32_t status,
 				const char *code)
 {
-	return si_answer(req, status, json_pack("{s:s}", "error", code));
+	return si_answer_json(req, status, json_pack("{s:s}", "error", code));
 }
 
-enum MHD_Result si_answer_later(struct si_req *req, uint32_t status,
-				const char *code, fg_ms retry_after_ms)
+enum MHD_Result si_answer_retry_later(struct si_req *req, uint32_t status,
+				      const char *code, fg_ms retry_after_ms)
 {
-	return si_answer(req, status,
-			 json_pack("{s:s, s:I}", "error", code,
-				   "retry_after_ms",
-				   (json_int_t)retry_after_ms));
+	return si_answer_json(req, status,
+			      json_pack("{s:s, s:I}", "error", code,
+					"retry_after_ms",
+					(json_int_t)retry_after_ms));
 }
 
 static bool route_matches(const struct si_route *route, const char *method,
@@ -154,7 +156,7 @@
 {
 	if (strcmp(route->method, method) != 0)
 		return false;
-	if (route->flags & SI_PREFIX)
+	if (route->flags & SI_ROUTE_PREFIX)
 		return g_str_has_prefix(path, route->path);
 	return strcmp(route->path, path) == 0;
 }
@@ -172,18 +174,18 @@
 {
 	struct si_fault *fault = req->proc->fault;
 
-	if (req->route->flags & SI_JSON) {
+	if (req->route->flags & SI_ROUTE_JSON) {
 		req->body = json_loadb(req->raw->str, req->raw->len, 0, NULL);
 		if (!json_is_object(req->body))
 			return si_answer_error(req, 400, "bad_request");
 	}
-	if (req->faulty) {
+	if (req->faults_apply) {
 		if (!si_fault_before_run(fault, req->instance))
-			return si_close(req);
-		if (si_fault_outage(fault))
+			return si_close_connection(req);
+		if (si_fault_is_outage(fault))
 			return si_answer_error(req, 503, "outage");
-		if ((req->route->flags & SI_WORK) &&
-		    si_fault_take(fault, SI_REFUSE))
+		if ((req->route->flags & SI_ROUTE_WORK) &&
+		    si_fault_consume(fault, SI_FAULT_REFUSE))
 			return si_answer_error(req, 429, "full");
 	}
 	return req->route->fn(req);
@@ -202,7 +204,7 @@
 	req->path = path;
 	req->instance = instance ? instance : "";
 	req->raw = g_string_new(NULL);
-	req->faulty = http->faulty;
+	req->faults_apply = http->faults_apply;
 	req->route = find_route(http, method, path);
 	return req;
 }
@@ -272,20 +274,21 @@
 
 struct si_http *si_http_start(struct si_proc *proc, const char *addr,
 			      const struct si_route *routes, size_t n_routes,
-			      bool faulty)
+			      bool faults_apply)
 {
 	struct si_http *http;
 	struct sockaddr_in sa;
 
 	if (!parse_addr(addr, &sa)) {
-		fprintf(stderr, "%s: not an IP:port\n", addr);
+		fprintf(stderr, "%s: not an address of the form IP:port\n",
+			addr);
 		return NULL;
 	}
 	http = g_new0(struct si_http, 1);
 	http->proc = proc;
 	http->routes = routes;
 	http->n_routes = n_routes;
-	http->faulty = faulty;
+	http->faults_apply = faults_apply;
 	http->daemon = MHD_start_daemon(
 		MHD_USE_THREAD_PER_CONNECTION |
 			MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL |
--- a/standin/common/si_log.c
+++ b/standin/common/si_log.c
@@ -11,16 +11,17 @@
 
 #include "base/fg_clock.h"
 
+/* Events beyond this size are not kept in memory. */
 #define LOG_MEMORY_MAX_BYTES ((size_t)64 << 20)
 
 struct si_log {
 	pthread_mutex_t lock;
-	char *who;
+	char *proc_name;
 	GString *text;
 	int fd; /* -1: no file */
 };
 
-struct si_log *si_log_new(const char *who, const char *path)
+struct si_log *si_log_new(const char *proc_name, const char *path)
 {
 	struct si_log *log;
 	int fd = -1;
@@ -35,7 +36,7 @@
 	}
 	log = g_new0(struct si_log, 1);
 	pthread_mutex_init(&log->lock, NULL);
-	log->who = g_strdup(who);
+	log->proc_name = g_strdup(proc_name);
 	log->text = g_string_new(NULL);
 	log->fd = fd;
 	si_log_event(log, "open", NULL);
@@ -49,7 +50,7 @@
 	if (log->fd >= 0)
 		close(log->fd);
 	g_string_free(log->text, TRUE);
-	g_free(log->who);
+	g_free(log->proc_name);
 	pthread_mutex_destroy(&log->lock);
 	g_free(log);
 }
@@ -61,7 +62,8 @@
 	if (log->text->len + len_bytes <= LOG_MEMORY_MAX_BYTES)
 		g_string_append_len(log->text, line, (gssize)len_bytes);
 	if (log->fd >= 0 && write(log->fd, line, len_bytes) < 0)
-		fprintf(stderr, "history: %s\n", strerror(errno));
+		fprintf(stderr, "cannot write the execution log: %s\n",
+			strerror(errno));
 }
 
 void si_log_event(struct si_log *log, const char *ev, json_t *fields)
@@ -72,7 +74,7 @@
 
 	pthread_mutex_lock(&log->lock);
 	event = json_pack("{s:I, s:s, s:s}", "t", (json_int_t)fg_clock_now(),
-			  "who", log->who, "ev", ev);
+			  "who", log->proc_name, "ev", ev);
 	json_object_update(event, fields);
 	text = json_dumps(event, JSON_COMPACT);
 	line = g_strconcat(text, "\n", NULL);
--- a/standin/common/si_log.h
+++ b/standin/common/si_log.h
@@ -1,9 +1,9 @@
 /*
- * si_log - the execution log of a stand-in: what really happened.
+ * si_log - the execution log of a stand-in, against which answers are checked.
  *
  * Events are JSON lines as docs/PROTOCOL.md, section 6, defines them. They are
- * kept in memory for GET /control/log and, when a file is given, written to
- * it line by line, so that a crash loses none.
+ * kept in memory for GET /control/log. With a file, each line is also written
+ * at once and unbuffered, so that a crash loses none.
  */
 #ifndef SI_LOG_H
 #define SI_LOG_H
@@ -12,16 +12,16 @@
 
 struct si_log;
 
-/* Opens the log of `who`; path "" keeps it in memory alone. NULL when the
- * file cannot be opened. */
-struct si_log *si_log_new(const char *who, const char *path);
+/* Opens the log of a process and appends to the file at path, if it is not "".
+ * Returns NULL and writes to stderr when the file cannot be opened. */
+struct si_log *si_log_new(const char *proc_name, const char *path);
 void si_log_free(struct si_log *log);
 
-/* Adds an event. The time is taken inside the log's lock, so that the order
- * of the lines is that of their times. Steals fields. */
+/* Adds an event; takes over the reference to fields, which may be NULL. The
+ * time is taken under the log's lock, so that lines are in order of time. */
 void si_log_event(struct si_log *log, const char *ev, json_t *fields);
 
-/* Copy of the whole log, g_malloc'ed. */
+/* Returns a copy of the log in memory; the caller frees it with g_free(). */
 char *si_log_text(struct si_log *log);
 
 #endif
--- a/standin/common/si_proc.c
+++ b/standin/common/si_proc.c
@@ -13,7 +13,7 @@
 
 #define CRASH_STATUS 134
 
-gint64 si_wait_until(fg_ms from_now_ms)
+gint64 si_deadline_us(fg_ms from_now_ms)
 {
 	return g_get_monotonic_time() + from_now_ms * 1000;
 }
@@ -51,7 +51,7 @@
 
 bool si_proc_sleep(struct si_proc *proc, fg_ms duration_ms)
 {
-	gint64 end = si_wait_until(duration_ms);
+	gint64 end = si_deadline_us(duration_ms);
 	bool stopping;
 
 	pthread_mutex_lock(&proc->stop_lock);
@@ -76,7 +76,7 @@
 		{ "listen", 0, 0, G_OPTION_ARG_STRING, &conf->listen,
 		  "Address of the service", "IP:PORT" },
 		{ "control", 0, 0, G_OPTION_ARG_STRING, &conf->control,
-		  "Address for faults and the log", "IP:PORT" },
+		  "Address for fault injection and the log", "IP:PORT" },
 		{ "name", 0, 0, G_OPTION_ARG_STRING, &conf->name,
 		  "Unique name of this process", "NAME" },
 		{ "region", 0, 0, G_OPTION_ARG_STRING, &conf->region, "Region",
@@ -115,7 +115,7 @@
 	return ok;
 }
 
-static void default_string(char **s)
+static void set_default_empty(char **s)
 {
 	if (!*s)
 		*s = g_strdup("");
@@ -123,11 +123,11 @@
 
 static void fill_defaults(struct si_conf *conf)
 {
-	default_string(&conf->region);
-	default_string(&conf->dc);
-	default_string(&conf->service);
-	default_string(&conf->platform);
-	default_string(&conf->history);
+	set_default_empty(&conf->region);
+	set_default_empty(&conf->dc);
+	set_default_empty(&conf->service);
+	set_default_empty(&conf->platform);
+	set_default_empty(&conf->history);
 }
 
 static void free_conf(struct si_conf *conf)
--- a/standin/common/si_proc.h
+++ b/standin/common/si_proc.h
@@ -1,9 +1,9 @@
 /*
- * si_proc - what every stand-in process has: options, servers, log, faults.
+ * si_proc - main program of a stand-in: options, servers, log, faults.
  *
  * A stand-in fills a struct si_program, calls si_proc_main() from main() and
- * handles requests in its routes. Each connection has a thread of its own, so
- * that a handler may block.
+ * handles requests in its routes. Each connection has a thread; a handler may
+ * block.
  */
 #ifndef SI_PROC_H
 #define SI_PROC_H
@@ -29,7 +29,7 @@
 	SI_PLAIN = 4,
 };
 
-/* Options that all stand-ins share; strings are never NULL after parsing. */
+/* Options common to all stand-ins; no string is NULL after parsing. */
 struct si_conf {
 	char *listen;  /* "IP:port" of the service */
 	char *control; /* "IP:port" of the control address */
@@ -45,20 +45,21 @@
 struct si_program {
 	enum si_kind kind;
 	const char *summary;
-	const GOptionEntry *options; /* its own, besides the shared ones */
+	const GOptionEntry *options; /* in addition to the common ones */
 	const struct si_route *routes;
 	size_t n_routes;
 
 	/* Allocates proc->self and starts threads; false on error. */
 	bool (*start)(struct si_proc *proc);
 
-	/* Wakes every handler and thread that waits; handlers then return. */
+	/* Wakes every handler and thread that waits, so that it returns. */
 	void (*stop)(struct si_proc *proc);
 
-	/* Frees proc->self; no thread uses it any more. */
+	/* Frees proc->self, after all threads have ended. */
 	void (*free)(struct si_proc *proc);
 
-	/* A control operation of its own; false when it is unknown. */
+	/* Applies a control operation that si_fault does not know; returns
+	 * false when it is unknown. */
 	bool (*control)(struct si_proc *proc, const char *op, json_t *body);
 };
 
@@ -70,7 +71,7 @@
 	struct si_http *http;
 	struct si_http *control;
 	struct si_announce *announce;
-	void *self; /* of the program */
+	void *self; /* state of the program */
 	pthread_mutex_t stop_lock;
 	pthread_cond_t stop_cond;
 	bool stopping;
@@ -79,21 +80,21 @@
 /* Runs a stand-in until SIGTERM or SIGINT; returns the exit status. */
 int si_proc_main(const struct si_program *program, int argc, char **argv);
 
-/* Sleeps; returns false at once when the process is to stop. */
+/* Sleeps; returns false, at once, when the process stops. */
 bool si_proc_sleep(struct si_proc *proc, fg_ms duration_ms);
 
 bool si_proc_stopping(struct si_proc *proc);
 
-/* Ends the process at once, as a crash does. */
+/* Ends the process at once, without any cleanup. */
 void si_proc_crash(void) __attribute__((noreturn));
 
-/* Time in us, some ms from now, for si_cond_wait_until(). */
-gint64 si_wait_until(fg_ms from_now_ms);
+/* Returns the time from_now_ms ahead, for si_cond_wait_until(). */
+gint64 si_deadline_us(fg_ms from_now_ms);
 
 /* Initialises a condition on the monotonic clock. */
 void si_cond_init(pthread_cond_t *cond);
 
-/* Waits for the condition; returns false when end_us has passed. */
+/* Waits for the condition; returns false at end_us. */
 bool si_cond_wait_until(pthread_cond_t *cond, pthread_mutex_t *lock,
 			gint64 end_us);
 
--- a/standin/engine/si_batch.c
+++ b/standin/engine/si_batch.c
@@ -4,8 +4,8 @@
 #include "common/si_fault.h"
 #include "engine/si_engine.h"
 
-#define QUEUE_PER_BATCH 4 /* queued requests per place in the batch */
-#define PREFILL_STEPS 2	  /* for a prompt whose prefix is not cached */
+#define QUEUE_PER_BATCH 4 /* queued requests allowed per batch position */
+#define PREFILL_STEPS 2	  /* when the prompt prefix is not cached */
 #define TOKENS_MAX 100000
 #define TIMEOUT_MAX_MS 3600000
 
@@ -108,11 +108,11 @@
 
 static void cut_runs(struct si_engine *e, const GPtrArray *runs)
 {
-	/* Backwards, since a run that ends leaves the array. */
+	/* Backwards, because a run that ends is removed from the array. */
 	for (guint i = runs->len; i > 0; i--) {
 		struct si_run *run = g_ptr_array_index(runs, i - 1);
 
-		run->cut = true;
+		run->cut_off = true;
 		si_batch_end(e, run, "restarted");
 	}
 }
@@ -123,22 +123,22 @@
 	cut_runs(e, e->queue);
 }
 
-const char *si_batch_add(struct si_engine *e, struct si_run *run)
+const char *si_batch_enqueue(struct si_engine *e, struct si_run *run)
 {
 	if (si_slots_find(e, run->adapter, run->version) == SI_NO_SLOT)
 		return "not_loaded";
 	if (e->queue->len >= e->batch * QUEUE_PER_BATCH)
 		return "full";
-	run->arrival = ++e->arrivals;
+	run->arrival = ++e->last_arrival;
 	run->state = SI_QUEUED;
 	si_run_ref(run);
 	g_ptr_array_add(e->queue, run);
-	pthread_cond_signal(&e->work);
+	pthread_cond_signal(&e->wakeup);
 	return NULL;
 }
 
-/* True when a goes before b. */
-static bool is_before(const struct si_run *a, const struct si_run *b)
+/* True when a is to start before b. */
+static bool has_precedence(const struct si_run *a, const struct si_run *b)
 {
 	if (a->priority != b->priority)
 		return a->priority < b->priority;
@@ -152,14 +152,15 @@
 	for (guint i = 0; i < e->queue->len; i++) {
 		struct si_run *run = g_ptr_array_index(e->queue, i);
 
-		if (!first || is_before(run, first))
+		if (!first || has_precedence(run, first))
 			first = run;
 	}
 	return first;
 }
 
-/* A word of the prompt that crashes the engine. */
-static void check_poison(struct si_engine *e, const struct si_run *run)
+/* Ends the process if the prompt holds the poison word, unless the fault asks
+ * for a restart instead: restart_if_poisoned() does that. */
+static void crash_if_poisoned(struct si_engine *e, const struct si_run *run)
 {
 	if (!*e->poison || !strstr(run->prompt, e->poison))
 		return;
@@ -183,7 +184,7 @@
 	e->slots[slot].running++;
 	log_run(e, "run_start", run, true);
 	pthread_cond_broadcast(&run->changed);
-	check_poison(e, run);
+	crash_if_poisoned(e, run);
 }
 
 static void fill_batch(struct si_engine *e)
@@ -206,8 +207,8 @@
 }
 
 /*
- * Makes the next token with what the slot holds now: after a wrong eviction
- * the answer shows it.
+ * Makes the next token from the current content of the slot, so that the answer
+ * shows whether the adapter was replaced during the run.
  */
 static void step_run(struct si_engine *e, struct si_run *run)
 {
@@ -247,17 +248,17 @@
 static void step_batch(struct si_engine *e)
 {
 	restart_if_poisoned(e);
-	/* Backwards, since a run that ends leaves the array. */
+	/* Backwards, because a run that ends is removed from the array. */
 	for (guint i = e->running->len; i > 0; i--)
 		step_run(e, g_ptr_array_index(e->running, i - 1));
 }
 
-/* Waits until the next step is due; the batch fills meanwhile. */
+/* Waits until the next step is due; admits queued runs in the meantime. */
 static void wait_for_step(struct si_engine *e, gint64 due_us)
 {
-	while (!e->stop && g_get_monotonic_time() < due_us) {
+	while (!e->stopping && g_get_monotonic_time() < due_us) {
 		fill_batch(e);
-		si_cond_wait_until(&e->work, &e->lock, due_us);
+		si_cond_wait_until(&e->wakeup, &e->lock, due_us);
 	}
 }
 
@@ -268,16 +269,16 @@
 	gint64 due_us;
 
 	pthread_mutex_lock(&e->lock);
-	while (!e->stop) {
+	while (!e->stopping) {
 		fill_batch(e);
 		if (e->running->len == 0) {
-			pthread_cond_wait(&e->work, &e->lock);
+			pthread_cond_wait(&e->wakeup, &e->lock);
 			continue;
 		}
 		due_us = g_get_monotonic_time() + step_us;
 		wait_for_step(e, due_us);
 		pthread_mutex_unlock(&e->lock);
-		if (!si_fault_thawed(e->proc->fault)) {
+		if (!si_fault_wait_unfrozen(e->proc->fault)) {
 			pthread_mutex_lock(&e->lock);
 			break;
 		}
@@ -299,8 +300,8 @@
 void si_batch_stop(struct si_engine *e)
 {
 	pthread_mutex_lock(&e->lock);
-	e->stop = true;
-	pthread_cond_broadcast(&e->work);
+	e->stopping = true;
+	pthread_cond_broadcast(&e->wakeup);
 	si_batch_cut_all(e);
 	pthread_mutex_unlock(&e->lock);
 	pthread_join(e->thread, NULL);
--- a/standin/engine/si_engine.h
+++ b/standin/engine/si_engine.h
@@ -1,12 +1,15 @@
 /*
  * si_engine - the parts of the engine stand-in.
  *
- * One lock guards slots, queue and batch. Its parts:
- *   si_slots   loads and evictions, fencing, the weight fetch.
- *   si_batch   the queue by priority and the continuous batch: one thread
- *              makes a token for every running request per step.
- *   si_prefix  cached prompt prefixes and their late events with gaps.
- *   si_stream  writes a run's tokens to its connection.
+ *   si_slots   loads and evictions, fencing, fetching of weights.
+ *   si_batch   priority queue and continuous batch: one thread makes one token
+ *              per step for every running request.
+ *   si_prefix  cached prompt prefixes and their events, which come late and
+ *              with gaps.
+ *   si_stream  writes the tokens of a run to its connection.
+ *
+ * si_engine.lock guards slots, queue, batch and runs. The caller of a function
+ * marked "Locked" holds it.
  */
 #ifndef SI_ENGINE_H
 #define SI_ENGINE_H
@@ -26,17 +29,17 @@
 	char *version;
 	bool loading;
 	uint32_t running;
-	uint64_t load; /* number of the newest load; older ones are void */
+	uint64_t load; /* number of the last load; earlier ones are void */
 };
 
 enum si_run_state {
 	SI_QUEUED = 1,
 	SI_RUNNING = 2,
 	SI_ENDED = 3,
-	SI_REFUSED = 4, /* it never ran; `error` says why */
+	SI_REFUSED = 4, /* never ran; `error` is the reason */
 };
 
-/* One request in the engine. Counted; guarded by the engine's lock. */
+/* One generation request. Reference-counted; guarded by the engine's lock. */
 struct si_run {
 	struct si_engine *engine;
 	uint32_t refs;
@@ -47,58 +50,58 @@
 	char *prompt;
 	uint32_t max_tokens;
 	int64_t priority;
-	uint64_t arrival; /* order among equal priorities */
-	fg_ms deadline;	  /* ended as timed out after it */
+	uint64_t arrival; /* sequence number; orders equal priorities */
+	fg_ms deadline;	  /* the run ends with "timeout" after it */
 	enum si_run_state state;
 	uint32_t slot;
 	uint32_t prefill;  /* steps before the first token */
-	GPtrArray *tokens; /* texts */
-	const char *error; /* NULL: ended whole */
-	bool cut;	   /* its connection is closed without more */
+	GPtrArray *tokens; /* strings made so far */
+	const char *error; /* NULL: all tokens were made */
+	bool cut_off;	   /* close the connection without an end mark */
 	pthread_cond_t changed;
 
-	/* Faults of its answer. */
+	/* Faults injected into the answer. */
 	bool truncate;
-	bool truncate_clean; /* the stream itself ends in order */
+	bool truncate_clean; /* end the HTTP body properly, but early */
 	bool garble;
-	struct si_run *shown; /* crossed: the run whose answer goes out */
+	struct si_run *answer_from; /* partner of a crossed run */
 };
 
 struct si_engine {
 	struct si_proc *proc;
 	pthread_mutex_t lock;
-	pthread_cond_t work; /* the batch thread waits on it when idle */
+	pthread_cond_t wakeup; /* wakes the batch thread */
 	pthread_t thread;
-	bool stop;
+	bool stopping;
 
 	uint64_t epoch;
 	uint64_t fence;
 	bool checks_fence;
 	uint32_t n_slots;
 	struct si_slot slots[SI_SLOTS_MAX];
-	uint64_t loads; /* numbers loads */
+	uint64_t last_load; /* number of the newest load */
 
 	uint32_t batch;
 	uint32_t token_ms;
-	uint64_t arrivals;
+	uint64_t last_arrival;
 	GPtrArray *queue;
 	GPtrArray *running;
 	struct si_prefix *prefix;
 
-	struct { /* last load report */
+	struct { /* last sample for /v1/report */
 		uint32_t in_use;
 		uint32_t queued;
-		fg_ms taken;
+		fg_ms sampled_at;
 	} report;
 
-	fg_ms refuse_after_ms; /* of leaving */
-	char *poison;	       /* "" for none */
-	bool poison_restarts;
-	fg_ms late_ms; /* the next late_orders loads arrive this late */
-	uint32_t late_orders;
+	fg_ms refuse_after_ms; /* after the engine began to leave */
+	char *poison; /* a prompt with this word ends the engine; "" for none */
+	bool poison_restarts; /* restart empty instead of a crash */
+	fg_ms order_delay_ms; /* of the next delayed_orders load orders */
+	uint32_t delayed_orders;
 	bool cross_armed;
-	struct si_run *cross_first;
-	uint32_t truncated;
+	struct si_run *cross_waiting;
+	uint32_t truncate_count;
 };
 
 static inline struct si_engine *si_engine_of(const struct si_req *req)
@@ -106,22 +109,24 @@
 	return req->proc->self;
 }
 
-/* Comes back empty: all requests end, slots and cache are empty, the epoch is
- * new and the fencing number forgotten. Locked. */
+/* Simulates a restart: ends all requests, clears slots and prefix cache, starts
+ * a new epoch and forgets the fencing number. Locked. */
 void si_engine_restart(struct si_engine *e);
 
-/* ---- si_slots; the lock must be held where said ---- */
+/* ---- si_slots ---- */
 
 void si_slots_init(struct si_engine *e);
-void si_slots_clear(struct si_engine *e);
 
-/* The loaded slot of an adapter with the fewest running requests, or
- * SI_NO_SLOT. Locked. */
+/* Frees the strings of all slots. */
+void si_slots_free(struct si_engine *e);
+
+/* Returns the slot with the fewest running requests among those that hold this
+ * version of the adapter, or SI_NO_SLOT. Locked. */
 uint32_t si_slots_find(struct si_engine *e, const char *adapter,
 		       const char *version);
 
-/* Empties all slots; loads under way come to nothing. Locked. */
-void si_slots_empty(struct si_engine *e);
+/* Empties all slots and voids the loads in progress. Locked. */
+void si_slots_clear(struct si_engine *e);
 
 enum MHD_Result si_slots_load(struct si_req *req);
 enum MHD_Result si_slots_evict(struct si_req *req);
@@ -130,33 +135,45 @@
 /* ---- si_batch ---- */
 
 bool si_batch_start(struct si_engine *e);
+
+/* Ends all requests and the batch thread. */
 void si_batch_stop(struct si_engine *e);
+
+/* Call after si_batch_stop(). */
 void si_batch_free(struct si_engine *e);
 
-/* Queues a run, or returns the reason why it is refused. Locked. */
-const char *si_batch_add(struct si_engine *e, struct si_run *run);
+/* Queues a run and takes a reference. Returns NULL, or the reason why the run
+ * is refused. Locked. */
+const char *si_batch_enqueue(struct si_engine *e, struct si_run *run);
 
-/* Ends the queued or running request, if it is still there. Locked. */
+/* Ends a queued or running request; does nothing when there is none. Locked. */
 void si_batch_cancel(struct si_engine *e, const char *id);
+
+/* Ends a request that is queued or running; error is NULL when all its tokens
+ * were made. Drops the reference of the queue. Locked. */
 void si_batch_end(struct si_engine *e, struct si_run *run, const char *error);
 
-/* Cuts off all running and queued requests. Locked. */
+/* Ends all requests and closes their connections. Locked. */
 void si_batch_cut_all(struct si_engine *e);
 
+/* Returns a run with one reference, or NULL when the request is malformed. */
 struct si_run *si_run_new(json_t *body);
+
+/* Locked. */
 void si_run_ref(struct si_run *run);
 void si_run_unref(struct si_run *run);
 
-/* ---- si_prefix: locked ---- */
+/* ---- si_prefix: all functions Locked ---- */
 
 struct si_prefix *si_prefix_new(void);
 void si_prefix_free(struct si_prefix *p);
 void si_prefix_clear(struct si_prefix *p);
 
-/* Notes a prompt; returns true when its prefix was cached. */
+/* Adds the prefix of the run's prompt to the cache. Returns true when it was
+ * there already. */
 bool si_prefix_use(struct si_prefix *p, const struct si_run *run);
 
-/* {"events":[...]} after a number. */
+/* Returns {"events":[...]} with numbers above `after`. */
 json_t *si_prefix_events(struct si_prefix *p, uint64_t after);
 
 /* ---- si_stream ---- */
--- a/standin/engine/si_engine_main.c
+++ b/standin/engine/si_engine_main.c
@@ -1,5 +1,6 @@
 /*
- * standin-engine - a model engine as docs/PROTOCOL.md, section 3, defines it.
+ * standin-engine - simulates the model engine that docs/PROTOCOL.md, section 3,
+ * defines.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +9,7 @@
 #include "common/si_announce.h"
 #include "engine/si_engine.h"
 
-#define REPORT_EVERY_MS 500
+#define REPORT_INTERVAL_MS 500
 #define LEAVE_REFUSE_AFTER_MS 10000
 
 static gint slots = 8;
@@ -19,9 +20,9 @@
 static const GOptionEntry options[] = {
 	{ "slots", 0, 0, G_OPTION_ARG_INT, &slots, "Adapter slots", "N" },
 	{ "batch", 0, 0, G_OPTION_ARG_INT, &batch,
-	  "Requests that run at the same time", "N" },
+	  "Requests that run concurrently", "N" },
 	{ "token-ms", 0, 0, G_OPTION_ARG_INT, &token_ms,
-	  "Time of one step of the batch", "MS" },
+	  "Duration of one batch step", "MS" },
 	{ "checks-fence", 0, 0, G_OPTION_ARG_NONE, &checks_fence,
 	  "Refuse orders with an old fencing number", NULL },
 	{ 0 },
@@ -30,7 +31,7 @@
 void si_engine_restart(struct si_engine *e)
 {
 	si_batch_cut_all(e);
-	si_slots_empty(e);
+	si_slots_clear(e);
 	si_prefix_clear(e->prefix);
 	e->fence = 0;
 	e->epoch++;
@@ -45,7 +46,7 @@
 	pthread_mutex_lock(&e->lock);
 	si_batch_cancel(e, si_field_str(req->body, "id"));
 	pthread_mutex_unlock(&e->lock);
-	return si_answer(req, 200, json_pack("{s:b}", "ok", 1));
+	return si_answer_json(req, 200, json_pack("{s:b}", "ok", 1));
 }
 
 static json_t *slots_json(const struct si_engine *e)
@@ -91,10 +92,11 @@
 			  "batch", (int)e->batch, "slots", slots_json(e),
 			  "running", running);
 	pthread_mutex_unlock(&e->lock);
-	return si_answer(req, 200, state);
+	return si_answer_json(req, 200, state);
 }
 
-/* The report lags: it shows the load as it was some reads ago. */
+/* Returns the previous sample and takes a new one when it is old enough: the
+ * report of an engine lags behind its load. */
 static enum MHD_Result get_report(struct si_req *req)
 {
 	struct si_engine *e = si_engine_of(req);
@@ -104,41 +106,41 @@
 	pthread_mutex_lock(&e->lock);
 	report = json_pack("{s:i, s:i, s:I}", "in_use", (int)e->report.in_use,
 			   "queued", (int)e->report.queued, "age_ms",
-			   (json_int_t)(now - e->report.taken));
-	if (now - e->report.taken >= REPORT_EVERY_MS) {
+			   (json_int_t)(now - e->report.sampled_at));
+	if (now - e->report.sampled_at >= REPORT_INTERVAL_MS) {
 		e->report.in_use = e->running->len;
 		e->report.queued = e->queue->len;
-		e->report.taken = now;
+		e->report.sampled_at = now;
 	}
 	pthread_mutex_unlock(&e->lock);
-	return si_answer(req, 200, report);
+	return si_answer_json(req, 200, report);
 }
 
 static enum MHD_Result get_events(struct si_req *req)
 {
 	struct si_engine *e = si_engine_of(req);
-	const char *after = si_query(req, "after");
+	const char *after = si_query_arg(req, "after");
 	json_t *events;
 
 	pthread_mutex_lock(&e->lock);
 	events = si_prefix_events(e->prefix,
 				  after ? strtoull(after, NULL, 10) : 0);
 	pthread_mutex_unlock(&e->lock);
-	return si_answer(req, 200, events);
+	return si_answer_json(req, 200, events);
 }
 
 static const struct si_route routes[] = {
-	{ "POST", "/v1/run", SI_JSON | SI_WORK, si_stream_run },
-	{ "POST", "/v1/cancel", SI_JSON, cancel_run },
-	{ "POST", "/v1/load", SI_JSON, si_slots_load },
-	{ "POST", "/v1/evict", SI_JSON, si_slots_evict },
-	{ "POST", "/v1/role", SI_JSON, si_slots_role },
+	{ "POST", "/v1/run", SI_ROUTE_JSON | SI_ROUTE_WORK, si_stream_run },
+	{ "POST", "/v1/cancel", SI_ROUTE_JSON, cancel_run },
+	{ "POST", "/v1/load", SI_ROUTE_JSON, si_slots_load },
+	{ "POST", "/v1/evict", SI_ROUTE_JSON, si_slots_evict },
+	{ "POST", "/v1/role", SI_ROUTE_JSON, si_slots_role },
 	{ "GET", "/v1/state", 0, get_state },
 	{ "GET", "/v1/report", 0, get_report },
 	{ "GET", "/v1/events", 0, get_events },
 };
 
-/* A number that no earlier process of this name has used. */
+/* Higher than the epoch of any earlier process of this name. */
 static uint64_t new_epoch(void)
 {
 	return (uint64_t)fg_clock_wall() * 1000;
@@ -159,10 +161,10 @@
 	e->token_ms = (uint32_t)token_ms;
 	e->refuse_after_ms = LEAVE_REFUSE_AFTER_MS;
 	e->poison = g_strdup("");
-	e->report.taken = fg_clock_now();
+	e->report.sampled_at = fg_clock_now();
 	e->prefix = si_prefix_new();
 	pthread_mutex_init(&e->lock, NULL);
-	si_cond_init(&e->work);
+	si_cond_init(&e->wakeup);
 	si_slots_init(e);
 	proc->self = e;
 	return si_batch_start(e);
@@ -173,16 +175,16 @@
 	si_batch_stop(proc->self);
 }
 
-static void free_self(struct si_proc *proc)
+static void free_engine(struct si_proc *proc)
 {
 	struct si_engine *e = proc->self;
 
 	si_batch_free(e);
-	si_slots_clear(e);
+	si_slots_free(e);
 	si_prefix_free(e->prefix);
 	g_free(e->poison);
 	pthread_mutex_destroy(&e->lock);
-	pthread_cond_destroy(&e->work);
+	pthread_cond_destroy(&e->wakeup);
 	g_free(e);
 }
 
@@ -208,8 +210,8 @@
 
 static void op_late_order(struct si_engine *e, json_t *body)
 {
-	e->late_ms = si_field_int(body, "ms", 0);
-	e->late_orders = (uint32_t)si_field_int(body, "count", 1);
+	e->order_delay_ms = si_field_int(body, "ms", 0);
+	e->delayed_orders = (uint32_t)si_field_int(body, "count", 1);
 }
 
 static void op_cross(struct si_engine *e, json_t *body)
@@ -250,7 +252,7 @@
 	.n_routes = G_N_ELEMENTS(routes),
 	.start = start,
 	.stop = stop,
-	.free = free_self,
+	.free = free_engine,
 	.control = control,
 };
 
--- a/standin/engine/si_prefix.c
+++ b/standin/engine/si_prefix.c
@@ -6,7 +6,7 @@
 #define CACHED_MAX 64
 #define EVENTS_MAX 1024
 #define EVENT_LAG_MS 500
-#define EVENT_GAP 7 /* every seventh event is never published */
+#define EVENT_GAP 7 /* one event in EVENT_GAP is lost */
 #define PREFIX_BYTES 64
 
 struct event {
@@ -17,7 +17,7 @@
 };
 
 struct si_prefix {
-	GQueue *cached; /* hashes, the longest unused first */
+	GQueue *cached; /* uint64_t hashes, least recently used first */
 	GArray *events; /* struct event, oldest first */
 	uint64_t seq;
 };
@@ -44,7 +44,7 @@
 	g_free(p);
 }
 
-static void publish(struct si_prefix *p, bool cached, uint64_t prefix)
+static void publish_event(struct si_prefix *p, bool cached, uint64_t prefix)
 {
 	struct event ev = { ++p->seq, fg_clock_now(), cached, prefix };
 
@@ -65,7 +65,7 @@
 	return hash;
 }
 
-static gint differs(gconstpointer a, gconstpointer b)
+static gint compare_hashes(gconstpointer a, gconstpointer b)
 {
 	return *(const uint64_t *)a != *(const uint64_t *)b;
 }
@@ -73,7 +73,7 @@
 bool si_prefix_use(struct si_prefix *p, const struct si_run *run)
 {
 	uint64_t hash = hash_prefix(run);
-	GList *link = g_queue_find_custom(p->cached, &hash, differs);
+	GList *link = g_queue_find_custom(p->cached, &hash, compare_hashes);
 
 	if (link) {
 		g_queue_unlink(p->cached, link);
@@ -83,11 +83,11 @@
 	if (g_queue_get_length(p->cached) == CACHED_MAX) {
 		uint64_t *old = g_queue_pop_head(p->cached);
 
-		publish(p, false, *old);
+		publish_event(p, false, *old);
 		g_free(old);
 	}
 	g_queue_push_tail(p->cached, g_memdup2(&hash, sizeof(hash)));
-	publish(p, true, hash);
+	publish_event(p, true, hash);
 	return false;
 }
 
--- a/standin/engine/si_slots.c
+++ b/standin/engine/si_slots.c
@@ -30,7 +30,7 @@
 		set_slot(&e->slots[i], "", "", false);
 }
 
-void si_slots_clear(struct si_engine *e)
+void si_slots_free(struct si_engine *e)
 {
 	for (uint32_t i = 0; i < SI_SLOTS_MAX; i++) {
 		g_free(e->slots[i].adapter);
@@ -56,15 +56,15 @@
 	return found;
 }
 
-void si_slots_empty(struct si_engine *e)
+void si_slots_clear(struct si_engine *e)
 {
 	for (uint32_t i = 0; i < e->n_slots; i++) {
 		set_slot(&e->slots[i], "", "", false);
-		e->slots[i].load = ++e->loads;
+		e->slots[i].load = ++e->last_load;
 	}
 }
 
-/* Returns false when the order is malformed. */
+/* Reads an order; returns false when it is malformed. */
 static bool read_order(struct si_engine *e, json_t *body, struct order *order)
 {
 	int64_t slot = si_field_int(body, "slot", -1);
@@ -79,8 +79,9 @@
 	return true;
 }
 
-/* Locked. Returns false when the order carries an old fencing number. */
-static bool fence_holds(struct si_engine *e, uint64_t fence)
+/* Returns false when the fencing number is lower than the recorded one, else
+ * records it. An engine that does not check accepts any number. Locked. */
+static bool accept_fence(struct si_engine *e, uint64_t fence)
 {
 	if (!e->checks_fence)
 		return true;
@@ -92,9 +93,9 @@
 
 static enum MHD_Result answer_fenced(struct si_req *req, uint64_t fence)
 {
-	return si_answer(req, 409,
-			 json_pack("{s:s, s:I}", "error", "fenced", "fence",
-				   (json_int_t)fence));
+	return si_answer_json(req, 409,
+			      json_pack("{s:s, s:I}", "error", "fenced",
+					"fence", (json_int_t)fence));
 }
 
 static void log_order(struct si_engine *e, const char *ev,
@@ -109,7 +110,7 @@
 			       (int)running, "ok", ok));
 }
 
-/* Fetches the weights; returns false when the store did not give them. */
+/* Fetches the weights; returns false when the store does not deliver them. */
 static bool fetch(struct si_engine *e, const struct order *order)
 {
 	CURL *curl = curl_easy_init();
@@ -125,8 +126,8 @@
 	return status == 200;
 }
 
-/* Takes the slot over for a load; returns the load's number, or 0 with the
- * fencing number in force. */
+/* Marks the slot as loading. Returns the load's number, or 0 when the order is
+ * fenced; *fence is the recorded fencing number. */
 static uint64_t begin_load(struct si_engine *e, const struct order *order,
 			   uint64_t *fence)
 {
@@ -134,8 +135,8 @@
 	uint64_t load = 0;
 
 	pthread_mutex_lock(&e->lock);
-	if (fence_holds(e, order->fence)) {
-		load = ++e->loads;
+	if (accept_fence(e, order->fence)) {
+		load = ++e->last_load;
 		log_order(e, "load_start", order, order->adapter,
 			  order->version, slot->running, true);
 		set_slot(slot, order->adapter, order->version, true);
@@ -146,7 +147,7 @@
 	return load;
 }
 
-/* Returns false when the load failed or another order overtook it. */
+/* Returns false when the load failed or a newer order changed the slot. */
 static bool finish_load(struct si_engine *e, const struct order *order,
 			uint64_t load, bool fetched)
 {
@@ -167,20 +168,20 @@
 	return ok;
 }
 
-/* An order that was held up on its way, and arrives whatever became of its
- * sender. */
-static void wait_if_late(struct si_engine *e)
+/* Delays an order as a slow network does: it is carried out even if its sender
+ * has died meanwhile. */
+static void delay_order(struct si_engine *e)
 {
-	fg_ms late_ms = 0;
+	fg_ms delay_ms = 0;
 
 	pthread_mutex_lock(&e->lock);
-	if (e->late_orders > 0) {
-		e->late_orders--;
-		late_ms = e->late_ms;
+	if (e->delayed_orders > 0) {
+		e->delayed_orders--;
+		delay_ms = e->order_delay_ms;
 	}
 	pthread_mutex_unlock(&e->lock);
-	if (late_ms > 0)
-		si_proc_sleep(e->proc, late_ms);
+	if (delay_ms > 0)
+		si_proc_sleep(e->proc, delay_ms);
 }
 
 enum MHD_Result si_slots_load(struct si_req *req)
@@ -194,28 +195,28 @@
 	if (!read_order(e, req->body, &order) || !*order.adapter ||
 	    !*order.version)
 		return si_answer_error(req, 400, "bad_request");
-	wait_if_late(e);
+	delay_order(e);
 	load = begin_load(e, &order, &fence);
 	if (load == 0)
 		return answer_fenced(req, fence);
-	fetched = !si_fault_take(req->proc->fault, SI_FAIL_LOAD) &&
+	fetched = !si_fault_consume(req->proc->fault, SI_FAULT_FAIL_LOAD) &&
 		  fetch(e, &order);
 	if (!finish_load(e, &order, load, fetched))
 		return si_answer_error(req, 503, "load_failed");
-	return si_answer(req, 200, json_pack("{s:b}", "ok", 1));
+	return si_answer_json(req, 200, json_pack("{s:b}", "ok", 1));
 }
 
-/* Returns the error of the order, or NULL when it was carried out. */
-static const char *evict(struct si_engine *e, const struct order *order)
+/* Returns NULL when the order was carried out, else its error. Locked. */
+static const char *evict_slot(struct si_engine *e, const struct order *order)
 {
 	struct si_slot *slot = &e->slots[order->slot];
 
-	if (!fence_holds(e, order->fence))
+	if (!accept_fence(e, order->fence))
 		return "fenced";
 	log_order(e, "evict", order, slot->adapter, slot->version,
 		  slot->running, true);
 	set_slot(slot, "", "", false);
-	slot->load = ++e->loads;
+	slot->load = ++e->last_load;
 	return NULL;
 }
 
@@ -229,27 +230,27 @@
 	if (!read_order(e, req->body, &order))
 		return si_answer_error(req, 400, "bad_request");
 	pthread_mutex_lock(&e->lock);
-	error = evict(e, &order);
+	error = evict_slot(e, &order);
 	fence = e->fence;
 	pthread_mutex_unlock(&e->lock);
 	if (error)
 		return answer_fenced(req, fence);
-	return si_answer(req, 200, json_pack("{s:b}", "ok", 1));
+	return si_answer_json(req, 200, json_pack("{s:b}", "ok", 1));
 }
 
-/* Changes no slot: an order that carries a fencing number and nothing else. */
+/* Records a new fencing number; changes no slot. */
 enum MHD_Result si_slots_role(struct si_req *req)
 {
 	struct si_engine *e = si_engine_of(req);
 	uint64_t asked = (uint64_t)si_field_int(req->body, "fence", 0);
 	uint64_t fence;
-	bool holds;
+	bool accepted;
 
 	pthread_mutex_lock(&e->lock);
-	holds = fence_holds(e, asked);
+	accepted = accept_fence(e, asked);
 	fence = e->fence;
 	pthread_mutex_unlock(&e->lock);
-	if (!holds)
+	if (!accepted)
 		return answer_fenced(req, fence);
-	return si_answer(req, 200, json_pack("{s:b}", "ok", 1));
+	return si_answer_json(req, 200, json_pack("{s:b}", "ok", 1));
 }
--- a/standin/engine/si_stream.c
+++ b/standin/engine/si_stream.c
@@ -8,15 +8,15 @@
 #define STREAM_BLOCK_BYTES 8192
 #define PARTNER_WAIT_MS 2000
 
-/* An answer on its way out. */
+/* State of an answer that is being sent. */
 struct stream {
 	struct si_engine *e;
-	struct si_run *own;   /* of this connection */
-	struct si_run *shown; /* whose answer goes out; own but for crossing */
-	uint32_t next;	      /* token to write */
-	GString *pending;     /* bytes not yet handed over */
-	bool last;	      /* nothing comes after pending */
-	bool broken;	      /* then the connection breaks off */
+	struct si_run *own;    /* the run of this connection's request */
+	struct si_run *source; /* own, or the partner of a crossed run */
+	uint32_t next;	       /* index of the next token to append */
+	GString *pending;      /* bytes not yet passed to the server */
+	bool ended;	       /* nothing follows pending */
+	bool abort;	       /* reset the connection after pending */
 };
 
 static void append_json(GString *out, json_t *line)
@@ -31,7 +31,7 @@
 
 static void append_token(struct stream *s)
 {
-	const char *text = g_ptr_array_index(s->shown->tokens, s->next);
+	const char *text = g_ptr_array_index(s->source->tokens, s->next);
 
 	if (s->own->garble && s->next == s->own->max_tokens / 2)
 		g_string_append(s->pending, SI_GARBLE_TEXT "\n");
@@ -43,11 +43,11 @@
 
 static void append_end(struct stream *s)
 {
-	const struct si_run *run = s->shown;
+	const struct si_run *run = s->source;
 
-	s->last = true;
-	if (run->cut) {
-		s->broken = true;
+	s->ended = true;
+	if (run->cut_off) {
+		s->abort = true;
 		return;
 	}
 	if (run->error) {
@@ -61,23 +61,23 @@
 			      run->version, "n", (int)run->tokens->len));
 }
 
-static bool is_over(const struct si_run *run)
+static bool has_ended(const struct si_run *run)
 {
 	return run->state == SI_ENDED || run->state == SI_REFUSED;
 }
 
-/* Appends what is ready. Locked. */
-static void collect(struct stream *s)
+/* Appends all output that is available now. Locked. */
+static void append_ready(struct stream *s)
 {
 	uint32_t stop_at =
 		s->own->truncate ? s->own->max_tokens / 2 : UINT32_MAX;
 
-	while (s->next < s->shown->tokens->len && s->next < stop_at)
+	while (s->next < s->source->tokens->len && s->next < stop_at)
 		append_token(s);
 	if (s->next >= stop_at) {
-		s->last = true;
-		s->broken = !s->own->truncate_clean;
-	} else if (is_over(s->shown)) {
+		s->ended = true;
+		s->abort = !s->own->truncate_clean;
+	} else if (has_ended(s->source)) {
 		append_end(s);
 	}
 }
@@ -88,19 +88,19 @@
 	size_t n;
 
 	(void)pos;
-	if (!si_fault_thawed(s->e->proc->fault))
+	if (!si_fault_wait_unfrozen(s->e->proc->fault))
 		return MHD_CONTENT_READER_END_WITH_ERROR;
 	pthread_mutex_lock(&s->e->lock);
-	while (s->pending->len == 0 && !s->last) {
-		collect(s);
-		if (s->pending->len == 0 && !s->last)
-			pthread_cond_wait(&s->shown->changed, &s->e->lock);
+	while (s->pending->len == 0 && !s->ended) {
+		append_ready(s);
+		if (s->pending->len == 0 && !s->ended)
+			pthread_cond_wait(&s->source->changed, &s->e->lock);
 	}
 	pthread_mutex_unlock(&s->e->lock);
 	n = s->pending->len < max ? s->pending->len : max;
 	if (n == 0)
-		return s->broken ? MHD_CONTENT_READER_END_WITH_ERROR
-				 : MHD_CONTENT_READER_END_OF_STREAM;
+		return s->abort ? MHD_CONTENT_READER_END_WITH_ERROR
+				: MHD_CONTENT_READER_END_OF_STREAM;
 	memcpy(buf, s->pending->str, n);
 	g_string_erase(s->pending, 0, (gssize)n);
 	return (ssize_t)n;
@@ -112,115 +112,119 @@
 
 	pthread_mutex_lock(&s->e->lock);
 	si_run_unref(s->own);
-	si_run_unref(s->shown);
+	si_run_unref(s->source);
 	pthread_mutex_unlock(&s->e->lock);
 	g_string_free(s->pending, TRUE);
 	g_free(s);
 }
 
-/* Crossed runs refer to each other; this breaks the cycle. Locked. */
-static void drop_partner(struct si_run *run)
+/* Drops the reference to the partner; crossed runs hold references to each
+ * other and would never be freed. Locked. */
+static void release_partner(struct si_run *run)
 {
-	struct si_run *shown = run->shown;
+	struct si_run *partner = run->answer_from;
 
-	run->shown = NULL;
-	if (shown)
-		si_run_unref(shown);
+	run->answer_from = NULL;
+	if (partner)
+		si_run_unref(partner);
 }
 
-/* The request is through; a caller that went away cancels it. */
+/* Called when the request ends; cancels the run if its caller has gone. A
+ * crossed run goes on, since its answer is sent to the other caller. */
 static void on_done(void *arg)
 {
 	struct si_run *run = arg;
 	struct si_engine *e = run->engine;
 
 	pthread_mutex_lock(&e->lock);
-	if (!run->shown)
+	if (!run->answer_from)
 		si_batch_end(e, run, "caller_gone");
-	drop_partner(run);
+	release_partner(run);
 	si_run_unref(run);
 	pthread_mutex_unlock(&e->lock);
 }
 
-/* Pairs two answers, each of which goes to the other's caller. Locked. */
-static void cross(struct si_engine *e, struct si_run *run)
+/* Pairs this run with the one that waits for a partner, if the fault is
+ * armed; each caller then gets the other's answer. Locked. */
+static void pair_crossed_runs(struct si_engine *e, struct si_run *run)
 {
-	struct si_run *first = e->cross_first;
+	struct si_run *first = e->cross_waiting;
 
 	if (!e->cross_armed)
 		return;
 	if (!first) {
-		e->cross_first = run;
+		e->cross_waiting = run;
 		si_run_ref(run);
 		return;
 	}
-	run->shown = first; /* takes over the reference */
-	first->shown = run;
+	run->answer_from = first; /* with the reference of cross_waiting */
+	first->answer_from = run;
 	si_run_ref(run);
-	e->cross_first = NULL;
+	e->cross_waiting = NULL;
 	e->cross_armed = false;
 	pthread_cond_broadcast(&first->changed);
 }
 
-static void take_faults(struct si_engine *e, struct si_run *run)
+static void consume_faults(struct si_engine *e, struct si_run *run)
 {
 	struct si_fault *fault = e->proc->fault;
 
-	run->garble = si_fault_take(fault, SI_GARBLE);
-	run->truncate = si_fault_take(fault, SI_TRUNCATE);
+	run->garble = si_fault_consume(fault, SI_FAULT_GARBLE);
+	run->truncate = si_fault_consume(fault, SI_FAULT_TRUNCATE);
 	if (run->truncate)
-		run->truncate_clean = e->truncated++ % 2 == 0;
+		run->truncate_clean = e->truncate_count++ % 2 == 0;
 }
 
-/* Waits until the run has started, or has been refused. Locked. */
+/* Waits until the run has started or has been refused. Locked. */
 static void wait_for_start(struct si_engine *e, struct si_run *run)
 {
 	while (run->state == SI_QUEUED)
 		pthread_cond_wait(&run->changed, &e->lock);
 }
 
-/* A run that finds no partner in time goes on with its own answer. Locked. */
+/* Waits up to PARTNER_WAIT_MS for a partner; a run that gets none sends its
+ * own answer. Locked. */
 static void wait_for_partner(struct si_engine *e, struct si_run *run)
 {
-	gint64 end = si_wait_until(PARTNER_WAIT_MS);
+	gint64 end = si_deadline_us(PARTNER_WAIT_MS);
 
-	while (e->cross_first == run && !e->stop)
+	while (e->cross_waiting == run && !e->stopping)
 		if (!si_cond_wait_until(&run->changed, &e->lock, end))
 			break;
-	if (e->cross_first == run) {
-		e->cross_first = NULL;
+	if (e->cross_waiting == run) {
+		e->cross_waiting = NULL;
 		si_run_unref(run);
 	}
 }
 
-static bool refuses_new(struct si_engine *e)
+static bool is_refusing_requests(struct si_engine *e)
 {
 	fg_ms leaving_ms = si_announce_leaving_ms(e->proc->announce);
 
 	return leaving_ms >= 0 && leaving_ms >= e->refuse_after_ms;
 }
 
-/* Queues the run and waits for its start; returns the reason why it is
- * refused, or NULL. */
-static const char *admit(struct si_engine *e, struct si_run *run)
+/* Queues the run and waits until it starts. Returns NULL, or the reason why
+ * the run was refused. */
+static const char *admit_run(struct si_engine *e, struct si_run *run)
 {
 	const char *refused;
 
 	pthread_mutex_lock(&e->lock);
-	if (e->stop)
+	if (e->stopping)
 		refused = "restarted";
-	else if (refuses_new(e))
+	else if (is_refusing_requests(e))
 		refused = "leaving";
 	else
-		refused = si_batch_add(e, run);
+		refused = si_batch_enqueue(e, run);
 	if (!refused) {
-		take_faults(e, run);
+		consume_faults(e, run);
 		wait_for_start(e, run);
 		if (run->state == SI_REFUSED)
 			refused = run->error;
 	}
 	if (!refused) {
-		cross(e, run);
+		pair_crossed_runs(e, run);
 		wait_for_partner(e, run);
 	}
 	pthread_mutex_unlock(&e->lock);
@@ -236,7 +240,7 @@
 	if (strcmp(refused, "leaving") == 0)
 		return si_answer_error(req, 503, refused);
 	if (strcmp(refused, "restarted") == 0)
-		return si_close(req);
+		return si_close_connection(req);
 	return si_answer_error(req, 200, refused);
 }
 
@@ -249,9 +253,9 @@
 	s->own = run;
 	s->pending = g_string_new(NULL);
 	pthread_mutex_lock(&e->lock);
-	s->shown = run->shown ? run->shown : run;
+	s->source = run->answer_from ? run->answer_from : run;
 	si_run_ref(run);
-	si_run_ref(s->shown);
+	si_run_ref(s->source);
 	pthread_mutex_unlock(&e->lock);
 	return si_answer_response(req, 200,
 				  MHD_create_response_from_callback(
@@ -259,11 +263,11 @@
 					  read_stream, s, free_stream));
 }
 
-/* An answer that is to be dropped takes its effect first. */
+/* Waits for the run to end: a dropped answer must come after the effect. */
 static void wait_for_end(struct si_engine *e, struct si_run *run)
 {
 	pthread_mutex_lock(&e->lock);
-	while (!is_over(run))
+	while (!has_ended(run))
 		pthread_cond_wait(&run->changed, &e->lock);
 	pthread_mutex_unlock(&e->lock);
 }
@@ -279,13 +283,13 @@
 	run->engine = e;
 	req->on_done = on_done;
 	req->done_arg = run;
-	refused = admit(e, run);
+	refused = admit_run(e, run);
 	if (refused)
 		return answer_refused(req, refused);
 	if (!si_fault_before_answer(req->proc->fault, req->path,
 				    req->raw->str)) {
 		wait_for_end(e, run);
-		return si_close(req);
+		return si_close_connection(req);
 	}
 	return start_stream(req, e, run);
 }
--- a/standin/plain/si_plain_main.c
+++ b/standin/plain/si_plain_main.c
@@ -1,8 +1,9 @@
 /*
- * standin-plain - a plain service as docs/PROTOCOL.md, section 4, defines it.
+ * standin-plain - simulates the plain service that docs/PROTOCOL.md, section 4,
+ * defines.
  *
- * The effect of a call is made and logged before the time that it takes, so
- * that a call that is cut off in its middle has run.
+ * A call takes effect and is logged before the simulated work time, so that a
+ * call interrupted during that time has run.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -17,18 +18,18 @@
 static gint work_ms = 20;
 
 static const GOptionEntry options[] = {
-	{ "work-ms", 0, 0, G_OPTION_ARG_INT, &work_ms, "Time of one call",
+	{ "work-ms", 0, 0, G_OPTION_ARG_INT, &work_ms, "Duration of one call",
 	  "MS" },
 	{ 0 },
 };
 
 struct si_plain {
 	pthread_mutex_t lock;
-	GHashTable *filed; /* set of keys */
+	GHashTable *filed; /* set of filing keys */
 	fg_ms refuse_after_ms;
 };
 
-static json_t *file_result(struct si_plain *self, const char *key)
+static json_t *run_filing(struct si_plain *self, const char *key)
 {
 	char receipt[9];
 
@@ -40,7 +41,7 @@
 	return json_pack("{s:s, s:s}", "filed", key, "receipt", receipt);
 }
 
-static json_t *status_result(struct si_plain *self, json_t *body)
+static json_t *look_up_status(struct si_plain *self, json_t *body)
 {
 	const char *key = si_field_str(body, "key");
 	bool filed;
@@ -51,7 +52,7 @@
 	return json_pack("{s:s, s:b}", "key", key, "filed", filed);
 }
 
-static bool refuses(struct si_proc *proc)
+static bool is_refusing_calls(struct si_proc *proc)
 {
 	struct si_plain *self = proc->self;
 	fg_ms leaving_ms = si_announce_leaving_ms(proc->announce);
@@ -73,7 +74,7 @@
 			       si_field_str(req->body, "key"), "ok", ok));
 }
 
-static enum MHD_Result call(struct si_req *req)
+static enum MHD_Result handle_call(struct si_req *req)
 {
 	struct si_plain *self = req->proc->self;
 	const char *op = si_field_str(req->body, "op");
@@ -84,26 +85,26 @@
 
 	if (!file && strcmp(op, "status") != 0)
 		return si_answer_error(req, 400, "bad_request");
-	if (refuses(req->proc))
+	if (is_refusing_calls(req->proc))
 		return si_answer_error(req, 503, "leaving");
 	if (file)
-		result = file_result(self, si_field_str(req->body, "key"));
+		result = run_filing(self, si_field_str(req->body, "key"));
 	else
-		result =
-			status_result(self, json_object_get(req->body, "body"));
+		result = look_up_status(self,
+					json_object_get(req->body, "body"));
 	log_exec(req, true);
 	si_proc_sleep(req->proc, work_ms);
 	text = json_dumps(result, JSON_COMPACT);
 	len_bytes = (json_int_t)strlen(text);
 	free(text);
-	return si_answer(req, 200,
-			 json_pack("{s:s, s:o, s:I}", "id",
-				   si_field_str(req->body, "id"), "result",
-				   result, "n", len_bytes));
+	return si_answer_json(req, 200,
+			      json_pack("{s:s, s:o, s:I}", "id",
+					si_field_str(req->body, "id"), "result",
+					result, "n", len_bytes));
 }
 
 static const struct si_route routes[] = {
-	{ "POST", "/v1/call", SI_JSON | SI_WORK, call },
+	{ "POST", "/v1/call", SI_ROUTE_JSON | SI_ROUTE_WORK, handle_call },
 };
 
 static bool start(struct si_proc *proc)
@@ -123,7 +124,7 @@
 	(void)proc;
 }
 
-static void free_self(struct si_proc *proc)
+static void free_plain(struct si_proc *proc)
 {
 	struct si_plain *self = proc->self;
 
@@ -154,7 +155,7 @@
 	.n_routes = G_N_ELEMENTS(routes),
 	.start = start,
 	.stop = stop,
-	.free = free_self,
+	.free = free_plain,
 	.control = control,
 };
 
--- a/standin/platform/si_platform_main.c
+++ b/standin/platform/si_platform_main.c
@@ -1,6 +1,6 @@
 /*
- * standin-platform - table, objects, instance list and weight store, as
- * docs/PROTOCOL.md, section 2, defines them.
+ * standin-platform - simulates the platform that docs/PROTOCOL.md, section 2,
+ * defines: table, objects, instance list and weight store.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -17,79 +17,80 @@
 
 static const GOptionEntry options[] = {
 	{ "loads-per-s", 0, 0, G_OPTION_ARG_INT, &loads_per_s,
-	  "Rate of the weight store, 0 for no limit", "N" },
-	{ "load-ms", 0, 0, G_OPTION_ARG_INT, &load_ms, "Time of one load",
+	  "Loads per second, 0 for no limit", "N" },
+	{ "load-ms", 0, 0, G_OPTION_ARG_INT, &load_ms, "Duration of one load",
 	  "MS" },
 	{ "loads-in-flight", 0, 0, G_OPTION_ARG_INT, &loads_in_flight,
-	  "Loads at once at the full pace", "N" },
+	  "Concurrent loads that run at full speed", "N" },
 	{ "list-lag-ms", 0, 0, G_OPTION_ARG_INT, &list_lag_ms,
-	  "How late the list shows a change", "MS" },
+	  "Delay until the list shows a change", "MS" },
 	{ "list-ttl-ms", 0, 0, G_OPTION_ARG_INT, &list_ttl_ms,
-	  "Listed this long after an announcement", "MS" },
+	  "Time that an announcement stays listed", "MS" },
 	{ "writes-per-s", 0, 0, G_OPTION_ARG_INT, &writes_per_s,
-	  "Transactions a second, 0 for no limit", "N" },
+	  "Transactions per second, 0 for no limit", "N" },
 	{ "reads-per-s", 0, 0, G_OPTION_ARG_INT, &reads_per_s,
-	  "Reads a second, 0 for no limit", "N" },
+	  "Reads per second, 0 for no limit", "N" },
 	{ 0 },
 };
 
-static struct si_platform *self_of(const struct si_req *req)
+static struct si_platform *platform_of(const struct si_req *req)
 {
 	return req->proc->self;
 }
 
-static enum MHD_Result over_rate(struct si_req *req, fg_ms retry_after_ms)
+static enum MHD_Result answer_over_rate(struct si_req *req,
+					fg_ms retry_after_ms)
 {
-	return si_answer_later(req, 429, "over_rate", retry_after_ms);
+	return si_answer_retry_later(req, 429, "over_rate", retry_after_ms);
 }
 
 static enum MHD_Result get_row(struct si_req *req)
 {
-	struct si_platform *self = self_of(req);
-	const char *key = si_query(req, "key");
+	struct si_platform *self = platform_of(req);
+	const char *key = si_query_arg(req, "key");
 	fg_ms retry_after_ms = 0;
 	json_t *row;
 
 	if (!key)
 		return si_answer_error(req, 400, "bad_request");
 	if (!si_table_may_read(self->table, &retry_after_ms))
-		return over_rate(req, retry_after_ms);
+		return answer_over_rate(req, retry_after_ms);
 	row = si_table_get(self->table, key);
 	if (!row)
 		return si_answer_error(req, 404, "absent");
-	return si_answer(req, 200, row);
+	return si_answer_json(req, 200, row);
 }
 
 static enum MHD_Result scan_rows(struct si_req *req)
 {
-	struct si_platform *self = self_of(req);
-	const char *prefix = si_query(req, "prefix");
-	const char *after = si_query(req, "after");
-	const char *limit = si_query(req, "limit");
+	struct si_platform *self = platform_of(req);
+	const char *prefix = si_query_arg(req, "prefix");
+	const char *after = si_query_arg(req, "after");
+	const char *limit = si_query_arg(req, "limit");
 	fg_ms retry_after_ms = 0;
 
 	if (!si_table_may_read(self->table, &retry_after_ms))
-		return over_rate(req, retry_after_ms);
-	return si_answer(req, 200,
-			 si_table_scan(self->table, prefix ? prefix : "",
-				       after ? after : "",
-				       limit ? atoll(limit) : 0));
+		return answer_over_rate(req, retry_after_ms);
+	return si_answer_json(req, 200,
+			      si_table_scan(self->table, prefix ? prefix : "",
+					    after ? after : "",
+					    limit ? atoll(limit) : 0));
 }
 
 static enum MHD_Result run_txn(struct si_req *req)
 {
-	struct si_platform *self = self_of(req);
+	struct si_platform *self = platform_of(req);
 	fg_ms retry_after_ms = 0;
 	json_t *res;
 	bool ok;
 
 	if (!si_table_may_write(self->table, &retry_after_ms))
-		return over_rate(req, retry_after_ms);
+		return answer_over_rate(req, retry_after_ms);
 	res = si_table_txn(self->table, json_object_get(req->body, "writes"),
 			   &ok);
 	if (!res)
 		return si_answer_error(req, 400, "bad_request");
-	return si_answer(req, ok ? 200 : 409, res);
+	return si_answer_json(req, ok ? 200 : 409, res);
 }
 
 static const char *object_name(const struct si_req *req)
@@ -99,12 +100,12 @@
 
 static enum MHD_Result get_object(struct si_req *req)
 {
-	struct si_platform *self = self_of(req);
+	struct si_platform *self = platform_of(req);
 	fg_ms retry_after_ms = 0;
 	char *text;
 
 	if (!si_table_may_read(self->table, &retry_after_ms))
-		return over_rate(req, retry_after_ms);
+		return answer_over_rate(req, retry_after_ms);
 	text = si_table_object(self->table, object_name(req));
 	if (!text)
 		return si_answer_error(req, 404, "absent");
@@ -113,48 +114,49 @@
 
 static enum MHD_Result put_object(struct si_req *req)
 {
-	struct si_platform *self = self_of(req);
+	struct si_platform *self = platform_of(req);
 	fg_ms retry_after_ms = 0;
 
 	if (!si_table_may_write(self->table, &retry_after_ms))
-		return over_rate(req, retry_after_ms);
+		return answer_over_rate(req, retry_after_ms);
 	si_table_put_object(self->table, object_name(req), req->raw->str);
-	return si_answer(req, 200, json_pack("{s:b}", "ok", 1));
+	return si_answer_json(req, 200, json_pack("{s:b}", "ok", 1));
 }
 
 static enum MHD_Result get_instances(struct si_req *req)
 {
-	return si_answer(req, 200, si_listing_read(self_of(req)->listing));
+	return si_answer_json(req, 200,
+			      si_listing_read(platform_of(req)->listing));
 }
 
-static enum MHD_Result announce(struct si_req *req)
+static enum MHD_Result announce_instance(struct si_req *req)
 {
-	if (!si_listing_announce(self_of(req)->listing, req->body))
+	if (!si_listing_announce(platform_of(req)->listing, req->body))
 		return si_answer_error(req, 400, "bad_request");
-	return si_answer(req, 200, json_pack("{s:b}", "ok", 1));
+	return si_answer_json(req, 200, json_pack("{s:b}", "ok", 1));
 }
 
 static enum MHD_Result fetch_weights(struct si_req *req)
 {
-	struct si_platform *self = self_of(req);
+	struct si_platform *self = platform_of(req);
 	fg_ms retry_after_ms = 0;
 
 	if (!si_store_may_load(self->store, &retry_after_ms))
-		return over_rate(req, retry_after_ms);
+		return answer_over_rate(req, retry_after_ms);
 	if (!si_store_load(self->store))
-		return si_close(req);
-	return si_answer(req, 200, json_pack("{s:b}", "ok", 1));
+		return si_close_connection(req);
+	return si_answer_json(req, 200, json_pack("{s:b}", "ok", 1));
 }
 
 static const struct si_route routes[] = {
 	{ "GET", "/table/row", 0, get_row },
 	{ "GET", "/table/scan", 0, scan_rows },
-	{ "POST", "/table/txn", SI_JSON, run_txn },
-	{ "GET", "/object/", SI_PREFIX, get_object },
-	{ "PUT", "/object/", SI_PREFIX, put_object },
+	{ "POST", "/table/txn", SI_ROUTE_JSON, run_txn },
+	{ "GET", "/object/", SI_ROUTE_PREFIX, get_object },
+	{ "PUT", "/object/", SI_ROUTE_PREFIX, put_object },
 	{ "GET", "/instances", 0, get_instances },
-	{ "POST", "/instances/announce", SI_JSON, announce },
-	{ "POST", "/weights/fetch", SI_JSON, fetch_weights },
+	{ "POST", "/instances/announce", SI_ROUTE_JSON, announce_instance },
+	{ "POST", "/weights/fetch", SI_ROUTE_JSON, fetch_weights },
 };
 
 static bool start(struct si_proc *proc)
@@ -179,7 +181,7 @@
 	si_store_stop(self->store);
 }
 
-static void free_self(struct si_proc *proc)
+static void free_platform(struct si_proc *proc)
 {
 	struct si_platform *self = proc->self;
 
@@ -207,7 +209,7 @@
 	.n_routes = G_N_ELEMENTS(routes),
 	.start = start,
 	.stop = stop,
-	.free = free_self,
+	.free = free_platform,
 	.control = control,
 };
 
--- a/standin/platform/si_table.c
+++ b/standin/platform/si_table.c
@@ -17,9 +17,9 @@
 	pthread_mutex_t lock;
 	GTree *rows;	     /* key to struct row, in byte order */
 	GHashTable *objects; /* name to text */
-	uint64_t version;    /* of the last write, over all rows */
-	struct si_bucket reads;
-	struct si_bucket writes;
+	uint64_t version;    /* of the last write to any row */
+	struct si_bucket read_bucket;
+	struct si_bucket write_bucket;
 };
 
 static void free_row(void *arg)
@@ -44,8 +44,8 @@
 	t->rows = g_tree_new_full(compare_keys, NULL, g_free, free_row);
 	t->objects =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	si_bucket_init(&t->reads, reads_per_s, fg_clock_now());
-	si_bucket_init(&t->writes, writes_per_s, fg_clock_now());
+	si_bucket_init(&t->read_bucket, reads_per_s, fg_clock_now());
+	si_bucket_init(&t->write_bucket, writes_per_s, fg_clock_now());
 	return t;
 }
 
@@ -57,7 +57,8 @@
 	g_free(t);
 }
 
-static bool take(struct si_table *t, struct si_bucket *b, fg_ms *retry_after_ms)
+static bool take_token(struct si_table *t, struct si_bucket *b,
+		       fg_ms *retry_after_ms)
 {
 	bool ok;
 
@@ -69,12 +70,12 @@
 
 bool si_table_may_read(struct si_table *t, fg_ms *retry_after_ms)
 {
-	return take(t, &t->reads, retry_after_ms);
+	return take_token(t, &t->read_bucket, retry_after_ms);
 }
 
 bool si_table_may_write(struct si_table *t, fg_ms *retry_after_ms)
 {
-	return take(t, &t->writes, retry_after_ms);
+	return take_token(t, &t->write_bucket, retry_after_ms);
 }
 
 static json_t *row_json(const char *key, const struct row *row)
@@ -132,7 +133,7 @@
 	return json_pack("{s:o, s:b}", "rows", rows, "more", more);
 }
 
-static bool write_is_sound(json_t *write)
+static bool is_write_valid(json_t *write)
 {
 	json_t *value = json_object_get(write, "value");
 	json_t *expect = json_object_get(write, "expect");
@@ -145,19 +146,19 @@
 	return json_is_string(value) || json_is_null(value);
 }
 
-static bool writes_are_sound(json_t *writes)
+static bool are_writes_valid(json_t *writes)
 {
 	size_t n = json_array_size(writes);
 
 	if (n < 1 || n > WRITES_MAX)
 		return false;
 	for (size_t i = 0; i < n; i++)
-		if (!write_is_sound(json_array_get(writes, i)))
+		if (!is_write_valid(json_array_get(writes, i)))
 			return false;
 	return true;
 }
 
-/* Returns the row in the way of a write, or NULL when its check holds. */
+/* Returns the row that conflicts with a write, or NULL when there is none. */
 static json_t *find_conflict(struct si_table *t, json_t *write)
 {
 	const char *key = si_field_str(write, "key");
@@ -195,7 +196,7 @@
 	size_t n = json_array_size(writes);
 
 	*ok = false;
-	if (!writes_are_sound(writes))
+	if (!are_writes_valid(writes))
 		return NULL;
 	versions = json_array();
 	pthread_mutex_lock(&t->lock);
--- a/tests/unit/si_harness.c
+++ b/tests/unit/si_harness.c
@@ -13,18 +13,18 @@
 static char *bin_dir;
 static int next_port;
 
-static char *new_addr(void)
+static char *next_addr(void)
 {
 	return g_strdup_printf("127.0.0.1:%d", next_port++);
 }
 
-static size_t take_data(char *data, size_t size, size_t n, void *arg)
+static size_t append_data(char *data, size_t size, size_t n, void *arg)
 {
 	g_string_append_len(arg, data, (gssize)(size * n));
 	return size * n;
 }
 
-struct answer ask(const char *addr, const char *path, const char *body)
+struct answer send_request(const char *addr, const char *path, const char *body)
 {
 	struct answer res = { .text = g_string_new(NULL) };
 	char *url = g_strconcat("http://", addr, path, NULL);
@@ -35,7 +35,7 @@
 	curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, TIMEOUT_MS);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, take_data);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_data);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, res.text);
 	if (body)
 		curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body);
@@ -54,10 +54,10 @@
 	g_string_free(res->text, TRUE);
 }
 
-char *ask_text(const char *addr, const char *path, const char *body,
-	       long status)
+char *request_text(const char *addr, const char *path, const char *body,
+		   long status)
 {
-	struct answer res = ask(addr, path, body);
+	struct answer res = send_request(addr, path, body);
 	char *text = g_strdup(res.text->str);
 
 	g_assert_cmpint(res.status, ==, status);
@@ -65,16 +65,16 @@
 	return text;
 }
 
-void ask_status(const char *addr, const char *path, const char *body,
-		long status)
+void check_status(const char *addr, const char *path, const char *body,
+		  long status)
 {
-	g_free(ask_text(addr, path, body, status));
+	g_free(request_text(addr, path, body, status));
 }
 
-void ask_contains(const char *addr, const char *path, const char *body,
-		  long status, const char *part)
+void check_contains(const char *addr, const char *path, const char *body,
+		    long status, const char *part)
 {
-	char *text = ask_text(addr, path, body, status);
+	char *text = request_text(addr, path, body, status);
 
 	if (!strstr(text, part))
 		g_error("%s not in %s", part, text);
@@ -84,7 +84,7 @@
 static void wait_ready(const char *addr)
 {
 	for (int i = 0; i < SI_READY_TRIES; i++) {
-		struct answer res = ask(addr, "/", NULL);
+		struct answer res = send_request(addr, "/", NULL);
 		long status = res.status;
 
 		answer_clear(&res);
@@ -95,16 +95,16 @@
 	g_error("%s does not answer", addr);
 }
 
-/* A test that fails must not leave its processes behind. */
-static void end_with_parent(gpointer arg)
+/* A failing test must not leave its processes behind. */
+static void die_with_parent(gpointer arg)
 {
 	(void)arg;
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
 }
 
-struct proc start(const char *kind, const char *const *options)
+struct proc start_standin(const char *kind, const char *const *options)
 {
-	struct proc proc = { .addr = new_addr(), .control = new_addr() };
+	struct proc proc = { .addr = next_addr(), .control = next_addr() };
 	GPtrArray *argv = g_ptr_array_new_with_free_func(g_free);
 	GError *error = NULL;
 
@@ -116,7 +116,7 @@
 		g_ptr_array_add(argv, g_strdup(*options));
 	g_ptr_array_add(argv, NULL);
 	g_spawn_async(NULL, (char **)argv->pdata, NULL,
-		      G_SPAWN_DO_NOT_REAP_CHILD, end_with_parent, NULL,
+		      G_SPAWN_DO_NOT_REAP_CHILD, die_with_parent, NULL,
 		      &proc.pid, &error);
 	g_assert_no_error(error);
 	g_ptr_array_free(argv, TRUE);
@@ -124,7 +124,7 @@
 	return proc;
 }
 
-void stop(struct proc *proc)
+void stop_standin(struct proc *proc)
 {
 	int status = 0;
 
@@ -136,16 +136,16 @@
 	g_free(proc->control);
 }
 
-void control(const struct proc *proc, const char *body)
+void send_control(const struct proc *proc, const char *body)
 {
-	ask_status(proc->control, "/control", body, 200);
+	check_status(proc->control, "/control", body, 200);
 }
 
 struct proc start_platform(const char *option)
 {
 	const char *const options[] = { "--list-lag-ms=300", option, NULL };
 
-	return start("platform", options);
+	return start_standin("platform", options);
 }
 
 void si_harness_init(const char *program, int port_offset)
@@ -153,7 +153,7 @@
 	const char *base = g_getenv("FG_PORT_BASE");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	/* GLib's slice allocator hides its locks from ThreadSanitizer. */
+	/* ThreadSanitizer does not see the locks of GLib's slice allocator. */
 	g_setenv("G_SLICE", "always-malloc", TRUE);
 	bin_dir = g_path_get_dirname(program);
 	next_port = (base ? atoi(base) : PORT_BASE_DEFAULT) + port_offset;
--- a/tests/unit/si_harness.h
+++ b/tests/unit/si_harness.h
@@ -1,7 +1,7 @@
 /*
- * si_harness - starts stand-ins for a test and asks them.
+ * si_harness - starts stand-in processes for a test and sends them requests.
  *
- * Every call that does not get what it expects fails the test.
+ * A call that does not get the expected result fails the test.
  */
 #ifndef SI_HARNESS_H
 #define SI_HARNESS_H
@@ -13,9 +13,9 @@
 #define SI_READY_WAIT_US 10000
 
 struct answer {
-	long status; /* 0: no whole answer */
+	long status; /* 0: no complete answer */
 	GString *text;
-	json_t *body; /* NULL when it is not JSON */
+	json_t *body; /* NULL when the answer is not JSON */
 };
 
 struct proc {
@@ -24,32 +24,36 @@
 	char *control;
 };
 
-/* Call it first; ports are taken from FG_PORT_BASE + offset on. */
+/* Call first. Ports are assigned from FG_PORT_BASE + port_offset upwards. */
 void si_harness_init(const char *program, int port_offset);
 void si_harness_free(void);
 
-/* Starts standin-KIND and waits until it answers. Options end with NULL. */
-struct proc start(const char *kind, const char *const *options);
+/* Starts standin-KIND and waits until it answers. The options end with NULL;
+ * the caller ends the process with stop_standin(). */
+struct proc start_standin(const char *kind, const char *const *options);
 struct proc start_platform(const char *option);
 
-/* Ends it with SIGTERM and checks that its exit status is 0. */
-void stop(struct proc *proc);
+/* Sends SIGTERM, checks that the exit status is 0, and frees the addresses. */
+void stop_standin(struct proc *proc);
 
-/* POST when body is not NULL, else GET, in the name of instance n1. */
-struct answer ask(const char *addr, const char *path, const char *body);
+/* Sends a POST when body is not NULL, else a GET, as instance n1. The caller
+ * clears the answer. */
+struct answer send_request(const char *addr, const char *path,
+			   const char *body);
 void answer_clear(struct answer *res);
 
-/* Asks and checks the status; returns the body's text. */
-char *ask_text(const char *addr, const char *path, const char *body,
-	       long status);
-void ask_status(const char *addr, const char *path, const char *body,
-		long status);
+/* Sends a request and checks the status. Returns the body, which the caller
+ * frees with g_free(). */
+char *request_text(const char *addr, const char *path, const char *body,
+		   long status);
+void check_status(const char *addr, const char *path, const char *body,
+		  long status);
 
-/* Checks that the body has the part in it. */
-void ask_contains(const char *addr, const char *path, const char *body,
-		  long status, const char *part);
+/* Checks also that the body contains part. */
+void check_contains(const char *addr, const char *path, const char *body,
+		    long status, const char *part);
 
-/* An operation at the control address. */
-void control(const struct proc *proc, const char *body);
+/* Sends an operation to the control address. */
+void send_control(const struct proc *proc, const char *body);
 
 #endif
--- a/tests/unit/test_standin_engine.c
+++ b/tests/unit/test_standin_engine.c
@@ -1,5 +1,6 @@
 /*
- * The engine keeps what docs/PROTOCOL.md promises of it, faults included.
+ * Checks that the engine stand-in behaves as docs/PROTOCOL.md says, with and
+ * without injected faults.
  */
 #include <pthread.h>
 #include <stdbool.h>
@@ -14,7 +15,7 @@
 	char *at = g_strconcat("--platform=", platform->addr, NULL);
 	const char *const options[] = { at,	     "--service=m", "--slots=2",
 					"--batch=2", more,	    NULL };
-	struct proc proc = start("engine", options);
+	struct proc proc = start_standin("engine", options);
 
 	g_free(at);
 	return proc;
@@ -27,7 +28,7 @@
 				     "\"%s\",\"version\":\"v1\",\"fence\":%d}",
 				     slot, adapter, fence);
 
-	ask_status(engine->addr, "/v1/load", body, status);
+	check_status(engine->addr, "/v1/load", body, status);
 	g_free(body);
 }
 
@@ -47,49 +48,49 @@
 	struct proc e = start_engine(&p, "--checks-fence");
 	char *body = run_body("r1", "a", 3, 1);
 
-	ask_contains(e.addr, "/v1/run", body, 404, "not_loaded");
+	check_contains(e.addr, "/v1/run", body, 404, "not_loaded");
 	load(&e, 0, "a", 5, 200);
-	ask_contains(e.addr, "/v1/run", body, 200, "\"n\":3}");
-	ask_contains(e.addr, "/v1/evict",
-		     "{\"order\":2,\"slot\":0,\"fence\":4}", 409,
-		     "{\"error\":\"fenced\",\"fence\":5}");
-	control(&e, "{\"op\":\"fail_load\",\"count\":1}");
+	check_contains(e.addr, "/v1/run", body, 200, "\"n\":3}");
+	check_contains(e.addr, "/v1/evict",
+		       "{\"order\":2,\"slot\":0,\"fence\":4}", 409,
+		       "{\"error\":\"fenced\",\"fence\":5}");
+	send_control(&e, "{\"op\":\"fail_load\",\"count\":1}");
 	load(&e, 0, "b", 5, 503);
-	/* A failed load has emptied the slot. */
-	ask_contains(e.addr, "/v1/run", body, 404, "not_loaded");
+	/* A failed load leaves the slot empty. */
+	check_contains(e.addr, "/v1/run", body, 404, "not_loaded");
 	load(&e, 0, "a", 5, 200);
-	control(&e, "{\"op\":\"restart_empty\"}");
-	ask_contains(e.addr, "/v1/run", body, 404, "not_loaded");
-	ask_contains(e.addr, "/v1/state", NULL, 200, "\"fence\":0");
+	send_control(&e, "{\"op\":\"restart_empty\"}");
+	check_contains(e.addr, "/v1/run", body, 404, "not_loaded");
+	check_contains(e.addr, "/v1/state", NULL, 200, "\"fence\":0");
 	g_free(body);
-	stop(&e);
-	stop(&p);
+	stop_standin(&e);
+	stop_standin(&p);
 }
 
-struct background {
+struct pending_run {
 	const struct proc *engine;
 	char *body;
 	struct answer res;
 	pthread_t thread;
 };
 
-static void *run_background(void *arg)
+static void *wait_for_answer(void *arg)
 {
-	struct background *b = arg;
+	struct pending_run *b = arg;
 
-	b->res = ask(b->engine->addr, "/v1/run", b->body);
+	b->res = send_request(b->engine->addr, "/v1/run", b->body);
 	return NULL;
 }
 
-static void begin_run(struct background *b, const struct proc *engine,
+static void start_run(struct pending_run *b, const struct proc *engine,
 		      const char *id, int tokens, int priority)
 {
 	b->engine = engine;
 	b->body = run_body(id, "a", tokens, priority);
-	pthread_create(&b->thread, NULL, run_background, b);
+	pthread_create(&b->thread, NULL, wait_for_answer, b);
 }
 
-static void end_run(struct background *b, long status, const char *part)
+static void finish_run(struct pending_run *b, long status, const char *part)
 {
 	pthread_join(b->thread, NULL);
 	g_assert_cmpint(b->res.status, ==, status);
@@ -102,7 +103,8 @@
 static void wait_for_log(const struct proc *proc, const char *part)
 {
 	for (int i = 0; i < SI_READY_TRIES; i++) {
-		struct answer res = ask(proc->control, "/control/log", NULL);
+		struct answer res =
+			send_request(proc->control, "/control/log", NULL);
 		bool found = strstr(res.text->str, part) != NULL;
 
 		answer_clear(&res);
@@ -113,24 +115,24 @@
 	g_error("%s is not in the log", part);
 }
 
-/* A wrong order shows in the log and in the answer. */
+/* An eviction during a run is visible in the log and in the answer. */
 static void test_engine_replaced_in_use(void)
 {
 	struct proc p = start_platform("--loads-per-s=0");
 	struct proc e = start_engine(&p, NULL);
-	struct background run;
+	struct pending_run run;
 
 	load(&e, 0, "a", 9, 200);
-	begin_run(&run, &e, "r1", 500, 1);
+	start_run(&run, &e, "r1", 500, 1);
 	wait_for_log(&e, "\"ev\":\"run_start\",\"id\":\"r1\"");
-	ask_status(e.addr, "/v1/evict", "{\"order\":7,\"slot\":0,\"fence\":1}",
-		   200);
-	end_run(&run, 200, "{\"error\":\"adapter_gone\"}");
-	ask_contains(e.control, "/control/log", NULL, 200,
-		     "\"order\":7,\"slot\":0,\"adapter\":\"a\","
-		     "\"version\":\"v1\",\"fence\":1,\"running\":1");
-	stop(&e);
-	stop(&p);
+	check_status(e.addr, "/v1/evict",
+		     "{\"order\":7,\"slot\":0,\"fence\":1}", 200);
+	finish_run(&run, 200, "{\"error\":\"adapter_gone\"}");
+	check_contains(e.control, "/control/log", NULL, 200,
+		       "\"order\":7,\"slot\":0,\"adapter\":\"a\","
+		       "\"version\":\"v1\",\"fence\":1,\"running\":1");
+	stop_standin(&e);
+	stop_standin(&p);
 }
 
 static void wait_for_running(const struct proc *engine, size_t wanted)
@@ -138,7 +140,8 @@
 	size_t n = 0;
 
 	for (int i = 0; i < SI_READY_TRIES && n != wanted; i++) {
-		struct answer res = ask(engine->addr, "/v1/state", NULL);
+		struct answer res =
+			send_request(engine->addr, "/v1/state", NULL);
 
 		n = json_array_size(json_object_get(res.body, "running"));
 		answer_clear(&res);
@@ -147,60 +150,61 @@
 	g_assert_cmpuint(n, ==, wanted);
 }
 
-/* With a full batch the more urgent of two queued requests goes first. */
+/* When the batch is full, the more urgent of two queued requests starts first.
+ */
 static void test_engine_batch(void)
 {
 	struct proc p = start_platform("--loads-per-s=0");
 	struct proc e = start_engine(&p, NULL);
-	struct background runs[4];
+	struct pending_run runs[4];
 
 	load(&e, 0, "a", 1, 200);
-	begin_run(&runs[0], &e, "r0", 5000, 1);
-	begin_run(&runs[1], &e, "r1", 5000, 1);
+	start_run(&runs[0], &e, "r0", 5000, 1);
+	start_run(&runs[1], &e, "r1", 5000, 1);
 	wait_for_log(&e, "\"ev\":\"run_start\",\"id\":\"r0\"");
 	wait_for_log(&e, "\"ev\":\"run_start\",\"id\":\"r1\"");
-	begin_run(&runs[2], &e, "late", 2, 5);
-	begin_run(&runs[3], &e, "urgent", 2, 0);
+	start_run(&runs[2], &e, "late", 2, 5);
+	start_run(&runs[3], &e, "urgent", 2, 0);
 	wait_for_running(&e, 4);
-	ask_status(e.addr, "/v1/cancel", "{\"id\":\"r0\"}", 200);
-	end_run(&runs[0], 200, "{\"error\":\"cancelled\"}");
-	end_run(&runs[3], 200, "\"id\":\"urgent\"");
-	end_run(&runs[2], 200, "\"id\":\"late\"");
-	ask_status(e.addr, "/v1/cancel", "{\"id\":\"r1\"}", 200);
-	end_run(&runs[1], 200, "{\"error\":\"cancelled\"}");
-	stop(&e);
-	stop(&p);
+	check_status(e.addr, "/v1/cancel", "{\"id\":\"r0\"}", 200);
+	finish_run(&runs[0], 200, "{\"error\":\"cancelled\"}");
+	finish_run(&runs[3], 200, "\"id\":\"urgent\"");
+	finish_run(&runs[2], 200, "\"id\":\"late\"");
+	check_status(e.addr, "/v1/cancel", "{\"id\":\"r1\"}", 200);
+	finish_run(&runs[1], 200, "{\"error\":\"cancelled\"}");
+	stop_standin(&e);
+	stop_standin(&p);
 }
 
 static void test_engine_answer_faults(void)
 {
 	struct proc p = start_platform("--loads-per-s=0");
 	struct proc e = start_engine(&p, NULL);
-	struct background one, other;
+	struct pending_run one, other;
 	char *body = run_body("r1", "a", 4, 1);
 	char *text;
 
 	load(&e, 0, "a", 1, 200);
-	control(&e, "{\"op\":\"truncate\",\"count\":2}");
-	text = ask_text(e.addr, "/v1/run", body, 200);
+	send_control(&e, "{\"op\":\"truncate\",\"count\":2}");
+	text = request_text(e.addr, "/v1/run", body, 200);
 	g_assert_null(strstr(text, "\"end\""));
 	g_free(text);
-	ask_status(e.addr, "/v1/run", body, 0);
-	control(&e, "{\"op\":\"refuse\",\"count\":1}");
-	ask_contains(e.addr, "/v1/run", body, 429, "full");
-	control(&e, "{\"op\":\"garble\",\"count\":1}");
-	ask_contains(e.addr, "/v1/run", body, 200, "garbled");
-	control(&e, "{\"op\":\"cross\"}");
-	/* Alone it waits in vain for a partner and gets its own answer. */
-	ask_contains(e.addr, "/v1/run", body, 200, "\"id\":\"r1\"");
-	begin_run(&one, &e, "one", 3, 1);
-	begin_run(&other, &e, "other", 3, 1);
-	end_run(&one, 200, "\"id\":\"other\"");
-	end_run(&other, 200, "\"id\":\"one\"");
-	ask_contains(e.addr, "/v1/run", body, 200, "\"id\":\"r1\"");
+	check_status(e.addr, "/v1/run", body, 0);
+	send_control(&e, "{\"op\":\"refuse\",\"count\":1}");
+	check_contains(e.addr, "/v1/run", body, 429, "full");
+	send_control(&e, "{\"op\":\"garble\",\"count\":1}");
+	check_contains(e.addr, "/v1/run", body, 200, "garbled");
+	send_control(&e, "{\"op\":\"cross\"}");
+	/* A run without a partner gets its own answer. */
+	check_contains(e.addr, "/v1/run", body, 200, "\"id\":\"r1\"");
+	start_run(&one, &e, "one", 3, 1);
+	start_run(&other, &e, "other", 3, 1);
+	finish_run(&one, 200, "\"id\":\"other\"");
+	finish_run(&other, 200, "\"id\":\"one\"");
+	check_contains(e.addr, "/v1/run", body, 200, "\"id\":\"r1\"");
 	g_free(body);
-	stop(&e);
-	stop(&p);
+	stop_standin(&e);
+	stop_standin(&p);
 }
 
 int main(int argc, char **argv)
