--- a/standin/hosted/si_http.py
+++ b/standin/hosted/si_http.py
@@ -1,12 +1,12 @@
-"""A small HTTP/1.1 server for stand-ins that must misbehave on the wire."""
+"""A small HTTP/1.1 server for stand-ins that inject faults on connections."""
 
 import socket
 import struct
 import threading
 
 
-def reset(sock):
-    """Closes so that the peer sees a reset."""
+def reset_connection(sock):
+    """Closes the socket so that the peer sees a reset."""
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
                         struct.pack("ii", 1, 0))
@@ -32,14 +32,14 @@
         self.sock.sendall(head.encode() + b"\r\n" + body)
 
 
-def read_request(sock, rest):
-    """Returns (Request or None, bytes behind it)."""
-    while b"\r\n\r\n" not in rest:
+def read_request(sock, buffered):
+    """Returns (Request, or None when the connection ends, bytes after it)."""
+    while b"\r\n\r\n" not in buffered:
         data = sock.recv(65536)
         if not data:
             return None, b""
-        rest += data
-    head, rest = rest.split(b"\r\n\r\n", 1)
+        buffered += data
+    head, buffered = buffered.split(b"\r\n\r\n", 1)
     lines = head.decode("latin-1").split("\r\n")
     method, target, _ = lines[0].split(" ", 2)
     headers = {}
@@ -47,16 +47,18 @@
         name, value = line.split(":", 1)
         headers[name.lower()] = value.strip()
     length = int(headers.get("content-length", "0"))
-    while len(rest) < length:
+    while len(buffered) < length:
         data = sock.recv(65536)
         if not data:
             return None, b""
-        rest += data
-    return Request(method, target, headers, rest[:length], sock), rest[length:]
+        buffered += data
+    return (Request(method, target, headers, buffered[:length], sock),
+            buffered[length:])
 
 
 class Server:
-    """Serves each connection in a thread of its own until stop()."""
+    """Serves each connection in a thread until stop(). `handle` takes a
+    Request and returns False to close the connection."""
 
     def __init__(self, handle, port=0):
         self.handle = handle
@@ -88,10 +90,10 @@
                              daemon=True).start()
 
     def _serve(self, sock):
-        rest = b""
+        buffered = b""
         try:
             while True:
-                request, rest = read_request(sock, rest)
+                request, buffered = read_request(sock, buffered)
                 if request is None or self.handle(request) is False:
                     break
         except (OSError, ValueError):
@@ -101,14 +103,14 @@
         sock.close()
 
     def stop(self, with_reset=True):
-        """Stops listening and drops every connection."""
+        """Stops listening and closes all connections."""
         self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
         with self.lock:
             socks = list(self.socks)
         for sock in socks:
             if with_reset:
-                reset(sock)
+                reset_connection(sock)
             else:
                 try:
                     sock.shutdown(socket.SHUT_RDWR)
--- a/standin/hosted/si_replica.py
+++ b/standin/hosted/si_replica.py
@@ -1,30 +1,35 @@
 """Stand-in of a replica of the users' platform: an engine or a plain service.
 
-`faults` maps a word to how many answers it still spoils:
-  not_run     503 with Not-Run              lost       runs, then resets
-  cut         a stream ends inside an event cut_end    a body without a length
-  reset_body  the same, reset midway                   that ends as it should
-  stray       another answer comes first    error      500 of the application
-  silent      nothing is said               crash      the replica dies
-  order_lost  an order is carried out and not answered
+`faults` maps a fault to the number of answers that it still affects:
+  not_run     503 with Not-Run
+  lost        the request runs, then the connection is reset
+  silent      the request runs, but nothing is sent
+  crash       the replica ends when the request runs
+  cut         the connection is reset within an event of the stream
+  cut_end     a complete body without a length, ended by the connection
+  reset_body  a body without a length, reset in its middle
+  stray       an answer to another request is sent first
+  error       500 of the application
+  order_lost  an order is carried out, but not answered
 """
 
 import json
 import threading
 import time
 
-from si_http import Server, reset
+from si_http import Server, reset_connection
 
 MODEL = "base"
 EVENTS = 6
 
 
 class Replica:
-    """`public` maps the address it listens on to the one it registers; `on_run`
-    hears (replica, request id, headers) when a request begins to run."""
+    """map_addr(listen address) returns the address to register;
+    on_run(replica, request id, headers) is called when a request begins to
+    run."""
 
     def __init__(self, store, name, service, engine, dc="dc1", slots=6,
-                 public=None, on_run=None):
+                 map_addr=None, on_run=None):
         self.store = store
         self.on_run = on_run
         self.name = name
@@ -34,23 +39,24 @@
         self.slots = slots
         self.lock = threading.Lock()
         self.faults = {}
-        self.ran = []       # ids of requests that it began to run
-        self.seen = []      # (id, headers) of every request
-        self.left = []      # (id, seconds) after which a caller was gone
-        self.made = {}      # (id, event) -> time.monotonic() when it was sent
-        self.orders = []    # (holder, fence, opcode, adapter, status)
-        self.event_s = 0.01
+        self.run_ids = []  # ids of the requests that began to run
+        self.received = []  # (id, headers) of every request
+        self.disconnects = []  # (id, seconds or event) when a caller left
+        self.sent_at = {}  # (id, event) -> time.monotonic()
+        self.orders = []  # (holder, fence, opcode, adapter, status)
+        self.event_interval_s = 0.01
         self.draining = False
-        self.born = int(time.time() * 1000)
+        self.boot_ms = int(time.time() * 1000)
         self.has_base = True
         self.adapters = {}  # name -> version
-        self.versions = {}  # newest of each adapter
+        self.versions = {}  # adapter -> newest version
         self.sequence = 0
         self.fence = 0
         self.load_s = 0.03
-        self.coming = {}
+        self.loading = {}  # adapter -> time.monotonic() of the end of its load
         self.server = Server(self.handle)
-        self.addr = public(self.server.addr) if public else self.server.addr
+        self.addr = (map_addr(self.server.addr) if map_addr
+                     else self.server.addr)
         self.register()
 
     def register(self):
@@ -61,7 +67,7 @@
                                     for a, v in self.adapters.items()]}]
         self.store.put("servers", self.name, {
             "service": self.service, "addr": self.addr, "zone": self.dc,
-            "slots": self.slots, "born": self.born, "models": models,
+            "slots": self.slots, "born": self.boot_ms, "models": models,
             "state": "draining" if self.draining else "ready",
             "sequence": self.sequence})
 
@@ -69,16 +75,17 @@
         self.draining = True
         self.register()
 
-    def die(self):
+    def crash(self):
         self.server.stop()
 
     def restart_empty(self):
-        """The same id and address; holds nothing."""
+        """Restarts with the same id and address, but without model and
+        adapters."""
         port = int(self.server.addr.split(":")[1])
         self.server.stop()
         time.sleep(0.05)
-        self.born = int(time.time() * 1000) + 1
-        self.coming = {}
+        self.boot_ms = int(time.time() * 1000) + 1
+        self.loading = {}
         self.has_base = False
         self.adapters = {}
         self.sequence = 0
@@ -86,7 +93,7 @@
         self.server.start(port)
         self.register()
 
-    def take(self, fault):
+    def consume_fault(self, fault):
         with self.lock:
             left = self.faults.get(fault, 0)
             if left > 0:
@@ -99,31 +106,31 @@
             req.answer(421, headers=[("Instance-Id", self.name)])
             return True
         if req.target == "/api/order":
-            return self.order(req)
+            return self.handle_order(req)
         if req.target == "/api/report":
-            return self.report(req)
-        return self.request(req)
+            return self.handle_report(req)
+        return self.handle_request(req)
 
     # Orders.
 
-    def order(self, req):
+    def handle_order(self, req):
         body = json.loads(req.body)
         with self.lock:
-            status = self._order(body)
+            status = self._apply_order(body)
             self.orders.append((body["holder"], body["fenceToken"],
                                 body["opcode"], body.get("adapter"), status))
-        if self.take("order_lost"):
-            self.wait_closed(req, None, 10)
+        if self.consume_fault("order_lost"):
+            self.wait_for_disconnect(req, None, 10)
             return False
         req.answer(status)
         return True
 
-    def _order(self, body):
+    def _apply_order(self, body):
         name = body.get("adapter")
         if body["fenceToken"] < self.fence:
             return 412
         self.fence = body["fenceToken"]
-        self._arrive()
+        self._finish_loads()
         if name is None:
             if self.has_base:
                 return 200
@@ -135,7 +142,7 @@
         if body["opcode"] == "unload":
             if name not in self.adapters:
                 return 200
-        elif name in self.coming:
+        elif name in self.loading:
             return 202
         elif self.adapters.get(name, 0) >= body.get("version", 1):
             return 200
@@ -145,67 +152,67 @@
         if body["opcode"] == "unload":
             del self.adapters[name]
             return 200
-        self.coming[name] = time.monotonic() + self.load_s
-        if len(set(self.adapters) | set(self.coming)) > 6:
+        self.loading[name] = time.monotonic() + self.load_s
+        if len(set(self.adapters) | set(self.loading)) > 6:
             self.orders.append(("", 0, "overfull", name, 0))
         return 202
 
-    def _arrive(self):
-        for name, at in list(self.coming.items()):
-            if time.monotonic() >= at:
-                del self.coming[name]
+    def _finish_loads(self):
+        for name, done_at in list(self.loading.items()):
+            if time.monotonic() >= done_at:
+                del self.loading[name]
                 self.adapters[name] = self.versions.get(name, 1)
 
-    def report(self, req):
+    def handle_report(self, req):
         with self.lock:
-            self._arrive()
+            self._finish_loads()
             models = []
             if self.has_base:
                 models = [{"name": MODEL, "version": 1,
                            "adapters": [f"{a}@{v}"
                                         for a, v in self.adapters.items()]}]
             body = {"models": models, "busy": False,
-                    "sequence": self.sequence, "born": self.born,
-                    "coming": [f"{MODEL}/{a}@1" for a in self.coming]}
+                    "sequence": self.sequence, "born": self.boot_ms,
+                    "coming": [f"{MODEL}/{a}@1" for a in self.loading]}
         req.answer(200, json.dumps(body).encode())
         return True
 
     # Requests.
 
-    def request(self, req):
+    def handle_request(self, req):
         rid = req.get("Request-Id")
-        self.seen.append((rid, dict(req.headers)))
+        self.received.append((rid, dict(req.headers)))
         model = req.get("Model", "")
         if self.engine and "/" in model:
             with self.lock:
-                self._arrive()
+                self._finish_loads()
                 name = model.split("/", 1)[1]
                 want = int(req.get("Expect-Version", "0"))
                 absent = self.adapters.get(name, 0) < max(want, 1)
             if absent:
                 req.answer(421, headers=[("Instance-Id", self.name)])
                 return True
-        if self.take("not_run"):
+        if self.consume_fault("not_run"):
             req.answer(503, headers=[("Not-Run", "1")])
             return True
-        self.ran.append(rid)
+        self.run_ids.append(rid)
         if self.on_run is not None:
             self.on_run(self, rid, req.headers)
-        if self.take("crash"):
-            self.die()
+        if self.consume_fault("crash"):
+            self.crash()
             self.store.remove("servers", self.name)
             return False
-        if self.take("silent"):
-            self.wait_closed(req, rid, 10)
+        if self.consume_fault("silent"):
+            self.wait_for_disconnect(req, rid, 10)
             return False
-        if self.take("lost"):
-            reset(req.sock)
+        if self.consume_fault("lost"):
+            reset_connection(req.sock)
             return False
         if self.engine:
-            return self.stream(req, rid)
-        return self.plain(req, rid)
+            return self.answer_stream(req, rid)
+        return self.answer_plain(req, rid)
 
-    def wait_closed(self, req, rid, limit_s):
+    def wait_for_disconnect(self, req, rid, limit_s):
         begin = time.monotonic()
         req.sock.settimeout(limit_s)
         try:
@@ -213,55 +220,56 @@
         except OSError:
             data = b""
         if not data:
-            self.left.append((rid, time.monotonic() - begin))
+            self.disconnects.append((rid, time.monotonic() - begin))
 
-    def head(self, rid, extra=""):
+    def response_head(self, rid, extra=""):
         return (f"HTTP/1.1 200 OK\r\nRequest-Id: {rid}\r\n"
                 f"Response-Stamp: {self.name}\r\n{extra}")
 
-    def plain(self, req, rid):
+    def answer_plain(self, req, rid):
         body = f"done by {self.name} for {rid}".encode()
-        if self.take("error"):
+        if self.consume_fault("error"):
             req.answer(500, b"no", [("Request-Id", rid),
                                     ("Response-Stamp", self.name)])
             return True
-        if self.take("stray"):
+        if self.consume_fault("stray"):
             req.answer(200, b"of another", [("Request-Id", "someone-else"),
                                             ("Response-Stamp", self.name)])
-        if self.take("reset_body"):
-            req.sock.sendall(self.head(rid).encode() + b"\r\n" + body[:4])
+        if self.consume_fault("reset_body"):
+            req.sock.sendall(self.response_head(rid).encode() + b"\r\n" +
+                             body[:4])
             time.sleep(0.02)
-            reset(req.sock)
+            reset_connection(req.sock)
             return False
-        if self.take("cut_end"):
-            req.sock.sendall(self.head(rid).encode() + b"\r\n" + body)
+        if self.consume_fault("cut_end"):
+            req.sock.sendall(self.response_head(rid).encode() + b"\r\n" + body)
             return False
         req.answer(200, body, [("Request-Id", rid),
                                ("Response-Stamp", self.name),
                                ("Keep-Alive", "timeout=9")])
         return True
 
-    def stream(self, req, rid):
+    def answer_stream(self, req, rid):
         first = int(req.get("Last-Event-Id", "0")) + 1
         adapter = req.get("Model", "")
-        head = self.head(rid, "Content-Type: text/event-stream\r\n"
-                              "Transfer-Encoding: chunked\r\n\r\n")
+        head = self.response_head(rid, "Content-Type: text/event-stream\r\n"
+                                       "Transfer-Encoding: chunked\r\n\r\n")
         req.sock.sendall(head.encode())
-        cut = self.take("cut")
+        cut = self.consume_fault("cut")
         for i in range(first, EVENTS + 1):
             event = f"id: {i}\ndata: piece {i} {rid} {adapter}\n\n".encode()
             if cut and i == first + 2:
                 half = event[:9]
                 req.sock.sendall(b"%x\r\n%s\r\n" % (len(half), half))
                 time.sleep(0.02)
-                reset(req.sock)
+                reset_connection(req.sock)
                 return False
-            self.made[(rid, i)] = time.monotonic()
+            self.sent_at[(rid, i)] = time.monotonic()
             req.sock.sendall(b"%x\r\n%s\r\n" % (len(event), event))
-            req.sock.settimeout(self.event_s)
+            req.sock.settimeout(self.event_interval_s)
             try:
                 if req.sock.recv(1) == b"":
-                    self.left.append((rid, i))
+                    self.disconnects.append((rid, i))
                     return False
             except TimeoutError:
                 pass
--- a/standin/hosted/si_store.py
+++ b/standin/hosted/si_store.py
@@ -6,7 +6,7 @@
 import time
 from urllib.parse import parse_qs, urlsplit
 
-from si_http import Server, reset
+from si_http import Server, reset_connection
 
 
 class Store:
@@ -17,14 +17,14 @@
         self.version = 0
         self.mode = "up"   # up, busy, reset, silent
         self.calls = 0
-        self.slow_feed_s = 0  # before each answer of a feed
-        self.mute = {}     # table -> how many feed calls get no answer
-        self.lost_tx = 0   # transactions that are done and not answered
-        self.late_tx_s = 0  # ... and done only after this time
+        self.feed_delay_s = 0  # before each answer to a feed call
+        self.unanswered_feeds = {}  # table -> feed calls not to answer
+        self.lost_tx_answers = 0  # transactions to carry out but not answer
+        self.tx_delay_s = 0  # before such a transaction is carried out
         self.server = Server(self.handle)
         self.addr = self.server.addr
 
-    # What operators and replicas write.
+    # Changes made by operators and replicas.
 
     def put(self, table, key, value):
         with self.cond:
@@ -58,7 +58,7 @@
             self.rows[(table, key)] = (raw, self.version)
         self.history.append((self.version, table, key, raw))
 
-    # Calls.
+    # Calls. get(), feed() and transact() return (status, body).
 
     def handle(self, req):
         self.calls += 1
@@ -66,7 +66,7 @@
             req.answer(503)
             return True
         if self.mode == "reset":
-            reset(req.sock)
+            reset_connection(req.sock)
             return False
         if self.mode == "silent":
             time.sleep(30)
@@ -74,18 +74,19 @@
         url = urlsplit(req.target)
         query = {k: v[0] for k, v in parse_qs(url.query).items()}
         if url.path == "/api/rows-feed":
-            time.sleep(self.slow_feed_s)
+            time.sleep(self.feed_delay_s)
         calls = {"/api/rows-get": self.get, "/api/rows-feed": self.feed}
-        if url.path == "/api/rows-feed" and self.mute.get(query["table"], 0):
-            self.mute[query["table"]] -= 1
-            req.sock.recv(1)  # until the caller gives the connection up
+        if (url.path == "/api/rows-feed" and
+                self.unanswered_feeds.get(query["table"], 0)):
+            self.unanswered_feeds[query["table"]] -= 1
+            req.sock.recv(1)  # until the caller closes the connection
             return False
         if url.path == "/api/rows-tx":
-            if self.lost_tx > 0:
-                self.lost_tx -= 1
-                time.sleep(self.late_tx_s)
+            if self.lost_tx_answers > 0:
+                self.lost_tx_answers -= 1
+                time.sleep(self.tx_delay_s)
                 self.transact(json.loads(req.body))
-                reset(req.sock)
+                reset_connection(req.sock)
                 return False
             status, body = self.transact(json.loads(req.body))
         elif url.path in calls:
--- a/tests/bad_input.py
+++ b/tests/bad_input.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Bad input at an entry instance: a clear error each, and nothing lost.
+"""Sends invalid requests to an entry instance and checks the errors.
 
-Starts a platform, a plain service and one entry, sends what callers and broken
-clients may send, and checks status and reason. Prints one line for each case;
-exits 0 when all hold and the entry still serves afterwards.
+Starts a platform, a plain service and one entry; checks status and reason of
+each answer, and that the entry still serves valid requests. Prints one line
+for each case; exits with 0 when all pass.
 """
 
 import json
@@ -15,15 +15,17 @@
 import fghttp
 from fgsystem import System
 
-HALF_OPEN = 50
-LARGE_BYTES = 1 << 20
+HALF_OPEN_CONNECTIONS = 50
+LARGE_BODY_BYTES = 1 << 20
+# Header lines of a valid request.
 CALLER = "X-Caller: kitchen\r\n"
 KEY = "Idempotency-Key: k1\r\n"
-GOOD = json.dumps({"service": "orders", "body": {"crates": 1}})
+VALID_BODY = json.dumps({"service": "orders", "body": {"crates": 1}})
 
 
-def raw(addr, path, body, headers, method="POST"):
-    """Returns (status, object) of a request written by hand."""
+def send_raw(addr, path, body, headers, method="POST"):
+    """Sends a request that http.client refuses to send; returns (status,
+    object)."""
     host, port = addr.split(":")
     text = (f"{method} {path} HTTP/1.1\r\nHost: x\r\n{headers}"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n{body}")
@@ -31,10 +33,10 @@
         sock.sendall(text.encode())
         answer = b""
         while True:
-            piece = sock.recv(65536)
-            if not piece:
+            data = sock.recv(65536)
+            if not data:
                 break
-            answer += piece
+            answer += data
     head, _, rest = answer.decode("utf-8", "replace").partition("\r\n\r\n")
     status = int(head.split(" ")[1]) if head else 0
     try:
@@ -64,13 +66,13 @@
     ("unknown class", "/v1/generate",
      json.dumps({"adapter": "a", "prompt": "x", "class": "filing"}), CALLER,
      400, "bad_request"),
-    ("no caller", "/v1/filings", GOOD, KEY, 400, "bad_request"),
-    ("no key", "/v1/filings", GOOD, CALLER, 400, "no_key"),
-    ("two keys", "/v1/filings", GOOD, CALLER + KEY + "Idempotency-Key: k2\r\n",
-     400, "bad_request"),
-    ("two callers", "/v1/filings", GOOD, CALLER + CALLER + KEY, 400,
+    ("no caller", "/v1/filings", VALID_BODY, KEY, 400, "bad_request"),
+    ("no key", "/v1/filings", VALID_BODY, CALLER, 400, "no_key"),
+    ("two keys", "/v1/filings", VALID_BODY,
+     CALLER + KEY + "Idempotency-Key: k2\r\n", 400, "bad_request"),
+    ("two callers", "/v1/filings", VALID_BODY, CALLER + CALLER + KEY, 400,
      "bad_request"),
-    ("long key", "/v1/filings", GOOD,
+    ("long key", "/v1/filings", VALID_BODY,
      CALLER + "Idempotency-Key: " + "k" * 200 + "\r\n", 400, "bad_request"),
     ("unknown adapter", "/v1/generate",
      json.dumps({"adapter": "nobody", "prompt": "x"}), CALLER, 404,
@@ -79,7 +81,7 @@
      json.dumps({"adapter": "a", "prompt": "x", "deadline_ms": 0}), CALLER,
      400, "bad_request"),
     ("large body", "/v1/filings",
-     json.dumps({"service": "orders", "body": {"x": "y" * LARGE_BYTES}}),
+     json.dumps({"service": "orders", "body": {"x": "y" * LARGE_BODY_BYTES}}),
      CALLER + KEY, 413, "bad_request"),
     ("no such path", "/v1/nothing", "{}", CALLER, 404, "bad_request"),
     ("broken change", "/v1/admin/change", "{\"change\":7}", "", 400,
@@ -90,7 +92,7 @@
 def check_cases(addr):
     failed = 0
     for name, path, body, headers, status, reason in CASES:
-        got, answer = raw(addr, path, body, headers)
+        got, answer = send_raw(addr, path, body, headers)
         ok = (got == status and answer.get("reason") == reason and
               answer.get("outcome") == "NOT_RUN" and answer.get("message"))
         failed += not ok
@@ -99,15 +101,15 @@
 
 
 def check_half_open(addr):
-    """Connections that send nothing, or half a request, block nobody."""
+    """Connections without a complete request do not block other requests."""
     host, port = addr.split(":")
     socks = []
-    for i in range(HALF_OPEN):
+    for i in range(HALF_OPEN_CONNECTIONS):
         sock = socket.create_connection((host, int(port)), 10)
         if i % 2:
             sock.sendall(b"POST /v1/filings HTTP/1.1\r\nContent-Length: 9\r\n")
         socks.append(sock)
-    status, answer = raw(addr, "/v1/filings", GOOD, CALLER + KEY)
+    status, answer = send_raw(addr, "/v1/filings", VALID_BODY, CALLER + KEY)
     for sock in socks:
         sock.close()
     ok = status == 200 and answer.get("outcome") == "DONE"
@@ -141,11 +143,11 @@
         failed += status != 405
         print(f"other method: {'ok' if status == 405 else status}")
     finally:
-        complaints = system.stop_all()
+        exit_errors = system.stop_all()
         system.remove_files()
-    for complaint in complaints:
-        print(complaint)
-    return 1 if failed or complaints else 0
+    for exit_error in exit_errors:
+        print(exit_error)
+    return 1 if failed or exit_errors else 0
 
 
 if __name__ == "__main__":
--- a/tests/fgcaller.py
+++ b/tests/fgcaller.py
@@ -1,4 +1,7 @@
-"""A caller in a scenario: sends one request, checks and records the answer."""
+"""Requests of callers and changes of operators in a scenario.
+
+Sends them and checks the answers; records requests and outcomes in a history.
+"""
 
 import json
 import threading
@@ -13,11 +16,12 @@
          "draft": "/v1/generate", "interactive": "/v1/generate"}
 RETRY_WAIT_MAX_S = 1.0
 EXTRA_WAIT_S = 5
-EARLY_PART = 10  # answered within this part of the deadline: early
+EARLY_DIVISOR = 10  # "early": answered within deadline / EARLY_DIVISOR
 
 
 class History:
-    """Appends events of docs/PROTOCOL.md, section 6, to a file."""
+    """Appends events to a file, as docs/PROTOCOL.md, section 6, defines
+    them."""
 
     def __init__(self, path, who):
         self.who = who
@@ -36,12 +40,12 @@
 
 
 class Request:
-    """One request of a scenario; its outcome once it has been answered."""
+    """A request of a scenario and, after run(), its outcome."""
 
     def __init__(self, tag, cls, target, options):
         self.tag = tag
         self.cls = cls
-        self.target = target  # adapter, or plain service
+        self.target = target  # adapter or plain service
         self.key = options.get("key", "")
         self.version = options.get("version", "")
         self.prompt = options.get("prompt", f"prompt of {tag}")
@@ -90,7 +94,7 @@
         return "".join(f"{name}:{i}:{hash8(f'{name}|{self.prompt}|{i}')} "
                        for i in range(self.tokens))
 
-    def generation_is_whole(self, last, streamed):
+    def is_generation_whole(self, last, streamed):
         version = last.get("version", "")
         if last.get("adapter") != self.target or not version:
             return False
@@ -104,15 +108,16 @@
             texts.append(streamed)
         return bool(texts) and all(t == expected for t in texts)
 
-    def plain_is_whole(self, last):
+    def is_plain_whole(self, last):
         body = last.get("body") or {}
         if self.cls == "filing":
             return body == {"filed": self.key, "receipt": hash8(self.key)}
         return (body.get("key") == self.key and
                 isinstance(body.get("filed"), bool))
 
-    def take_answer(self, status, text):
-        """Reads an answer; without its last line it says nothing."""
+    def parse_answer(self, status, text):
+        """Sets the outcome from an answer and returns its last line. Without
+        that line the outcome is UNKNOWN and {} is returned."""
         last, streamed = read_lines(text)
         if status == 0 or last is None:
             self.outcome, self.reason = "UNKNOWN", "connection_lost"
@@ -123,8 +128,8 @@
         self.replayed = bool(last.get("replayed"))
         self.answered_version = last.get("version", "")
         self.whole = self.outcome == "DONE" and (
-            self.generation_is_whole(last, streamed)
-            if self.is_generation() else self.plain_is_whole(last))
+            self.is_generation_whole(last, streamed)
+            if self.is_generation() else self.is_plain_whole(last))
         return last
 
     def attempt(self, history, tag, addr):
@@ -139,39 +144,40 @@
             "POST", addr, PATHS[self.cls], self.body(), self.headers(tag),
             self.deadline_ms / 1000 + EXTRA_WAIT_S, self.read_after_s)
         took_ms = (time.monotonic() - begin) * 1000
-        last = self.take_answer(status, text)
-        self.early = took_ms * EARLY_PART <= self.deadline_ms
+        last = self.parse_answer(status, text)
+        self.early = took_ms * EARLY_DIVISOR <= self.deadline_ms
         self.retry_after = last.get("retry_after_ms", 0) > 0
         history.add("return", tag=tag, outcome=self.outcome,
                     reason=self.reason, whole=self.whole,
                     replayed=self.replayed, version=self.answered_version)
         return last
 
-    def run(self, history, pick_addr):
-        """Sends it, with the option retry again after each NOT_RUN, and while
-        the first request under its key is in progress."""
+    def run(self, history, choose_addr):
+        """Sends the request. With the option retry, sends it again until the
+        deadline after NOT_RUN, and while the first request with its key is in
+        progress."""
         end = time.monotonic() + self.deadline_ms / 1000
         for n in range(1000):
-            last = self.attempt(history, f"{self.tag}.{n}", pick_addr(self))
+            last = self.attempt(history, f"{self.tag}.{n}", choose_addr(self))
             wait_s = last.get("retry_after_ms", 0) / 1000
-            again = (self.retry and "retry_after_ms" in last and
-                     (self.outcome == "NOT_RUN" or
-                      self.reason == "in_progress"))
-            if not again or time.monotonic() + wait_s > end:
+            send_again = (self.retry and "retry_after_ms" in last and
+                          (self.outcome == "NOT_RUN" or
+                           self.reason == "in_progress"))
+            if not send_again or time.monotonic() + wait_s > end:
                 return
             time.sleep(min(max(wait_s, 0.01), RETRY_WAIT_MAX_S))
 
-    def start(self, history, pick_addr):
+    def start(self, history, choose_addr):
         self.thread = threading.Thread(target=self.run, daemon=True,
-                                       args=(history, pick_addr))
+                                       args=(history, choose_addr))
         self.thread.start()
 
     def finish(self):
         self.thread.join(self.deadline_ms / 1000 + 2 * EXTRA_WAIT_S)
         return not self.thread.is_alive()
 
-    def words(self):
-        """What an expectation may name."""
+    def result_words(self):
+        """Returns the words that an expectation may name."""
         words = {self.outcome, self.reason}
         if self.whole:
             words.add("whole")
@@ -187,7 +193,7 @@
 
 
 class Change:
-    """An operator's change."""
+    """A change of an operator."""
 
     def __init__(self, tag, body):
         self.tag = tag
@@ -212,12 +218,13 @@
         self.thread.join(60)
         return not self.thread.is_alive()
 
-    def words(self):
+    def result_words(self):
         return {self.status, f"revision={self.revision}"}
 
 
 def read_lines(text):
-    """Splits an answer into its last line and the streamed text before it."""
+    """Returns the last line of an answer, or None, and the text streamed
+    before it."""
     streamed = ""
     for line in text.splitlines():
         try:
--- a/tests/fghttp.py
+++ b/tests/fghttp.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""JSON over HTTP for the tests.
+"""Sends JSON requests over HTTP for the tests.
 
-As a program: fghttp.py METHOD IP:PORT PATH [JSON] prints the answer's body and
-exits with 0 when the status is 200.
+Usage: fghttp.py METHOD IP:PORT PATH [JSON]
+Prints the body of the answer; exits with 0 when the status is 200.
 """
 
 import http.client
@@ -13,11 +13,11 @@
 
 TIMEOUT_S = 10
 SMALL_WINDOW_BYTES = 4096
-SMALL_SEGMENT_BYTES = 536  # keeps the sender's buffer small as well
+SMALL_SEGMENT_BYTES = 536  # limits the send buffer of the peer as well
 
 
-def slow_reader(host, port, timeout_s):
-    """A connected socket whose receive window is as small as it can be."""
+def connect_slow_reader(host, port, timeout_s):
+    """Returns a connected socket with the smallest possible receive window."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_WINDOW_BYTES)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG,
@@ -29,14 +29,14 @@
 
 def request(method, addr, path, body=None, headers=None, timeout_s=TIMEOUT_S,
             read_after_s=0):
-    """Returns (status, text); status 0 when there was no whole answer. The
-    answer is read read_after_s after the request was sent."""
+    """Returns (status, text); the status is 0 without a complete answer.
+    Starts to read the answer read_after_s after sending the request."""
     host, port = addr.rsplit(":", 1)
     conn = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     try:
         data = None if body is None else json.dumps(body)
         if read_after_s > 0:
-            conn.sock = slow_reader(host, int(port), timeout_s)
+            conn.sock = connect_slow_reader(host, int(port), timeout_s)
         conn.request(method, path, data, headers or {})
         time.sleep(read_after_s)
         res = conn.getresponse()
@@ -49,7 +49,8 @@
 
 def request_json(method, addr, path, body=None, headers=None,
                  timeout_s=TIMEOUT_S):
-    """Returns (status, object); the object is {} when it is not one."""
+    """Returns (status, object); the object is {} if the answer is not a JSON
+    object."""
     status, text = request(method, addr, path, body, headers, timeout_s)
     try:
         obj = json.loads(text)
--- a/tests/fgsystem.py
+++ b/tests/fgsystem.py
@@ -1,4 +1,4 @@
-"""The processes of a scenario: ports, start, signals, histories."""
+"""Starts, signals and ends the processes of a scenario; reads histories."""
 
 import json
 import os
@@ -11,10 +11,10 @@
 
 import fghttp
 
-READY_S = 15
-STOP_S = 30
-POLL_S = 0.02
-PORTS = 900
+READY_TIMEOUT_S = 15
+STOP_TIMEOUT_S = 30
+POLL_INTERVAL_S = 0.02
+PORT_COUNT = 900
 
 
 def now_ms():
@@ -38,18 +38,19 @@
 
 
 class System:
-    """Starts processes below one directory and ends them all."""
+    """All processes of a run, with one directory for their files."""
 
-    def __init__(self, build, port_base, on_life):
+    def __init__(self, build, port_base, on_process_event):
         self.bin = os.path.join(build, "bin")
         self.dir = tempfile.mkdtemp(prefix="fgs-")
         self.next_port = port_base
-        self.last_port = port_base + PORTS
+        self.last_port = port_base + PORT_COUNT
         self.processes = {}
-        self.on_life = on_life  # called with "live" or "dead" and a name
+        # Called with "live" or "dead" and the name of a process.
+        self.on_process_event = on_process_event
 
-    def port(self):
-        """A port that nobody listens on."""
+    def free_port(self):
+        """Returns a port without a listener."""
         while self.next_port < self.last_port:
             port = self.next_port
             self.next_port += 1
@@ -62,15 +63,15 @@
                     continue
         raise RuntimeError("no free port")
 
-    def address(self):
-        return f"127.0.0.1:{self.port()}"
+    def free_address(self):
+        return f"127.0.0.1:{self.free_port()}"
 
     def path(self, name):
         return os.path.join(self.dir, name)
 
     def spawn(self, name, args):
-        # GLib's slice allocator hides its locks from ThreadSanitizer.
-        # FG_TEST admits cuts between entries and the mapping `switches`.
+        # ThreadSanitizer does not see the locks of GLib's slice allocator.
+        # FG_TEST enables cuts between entries and the setting `switches`.
         env = dict(os.environ, G_SLICE="always-malloc", FG_TEST="1")
         with open(self.path(name + ".log"), "ab") as log:
             return subprocess.Popen(args, stdin=subprocess.DEVNULL,
@@ -79,23 +80,23 @@
     def add(self, process):
         self.processes[process.name] = process
         self.wait_ready(process)
-        self.on_life("live", process.name, kind=process.kind)
+        self.on_process_event("live", process.name, kind=process.kind)
 
     def wait_ready(self, process):
         path = {"platform": "/instances", "entry": "/v1/state",
                 "engine": "/v1/state", "plain": "/"}[process.kind]
-        end = time.monotonic() + READY_S
+        end = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < end and process.running():
             if fghttp.request("GET", process.addr, path, timeout_s=1)[0]:
                 return
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         raise RuntimeError(f"{process.name} does not answer")
 
     def platform_addr(self):
         return self.processes["platform"].addr
 
     def start_standin(self, kind, name, options):
-        addr, control = self.address(), self.address()
+        addr, control = self.free_address(), self.free_address()
         history = self.path(name + ".jsonl")
         args = [os.path.join(self.bin, "standin-" + kind), "--listen", addr,
                 "--control", control, "--name", name]
@@ -108,9 +109,9 @@
         self.add(Process(name, kind, addr, control, popen, history))
 
     def start_entry(self, name, settings):
-        addr, history = self.address(), self.path(name + ".jsonl")
+        addr, history = self.free_address(), self.path(name + ".jsonl")
         values = {"name": name, "region": "coast", "dc": "north",
-                  "http": addr, "rpc": self.address(),
+                  "http": addr, "rpc": self.free_address(),
                   "platform": self.platform_addr(), "history": history}
         values.update(settings)
         config = self.path(name + ".yaml")
@@ -125,7 +126,7 @@
                 if p.kind == "entry" and p.running() and not p.frozen]
 
     def state(self, name):
-        """What a process says of itself; {} when it does not answer."""
+        """Returns the state of a process; {} when it does not answer."""
         process = self.processes[name]
         path = "/instances" if process.kind == "platform" else "/v1/state"
         return fghttp.request_json("GET", process.addr, path, timeout_s=2)[1]
@@ -135,21 +136,21 @@
                                    "/v1/admin/catalogue", timeout_s=2)[1]
 
     def rows(self, prefix):
-        """Number of the platform's rows below a prefix."""
+        """Returns the number of rows of the platform with a key prefix."""
         path = f"/table/scan?prefix={prefix}&limit=1000"
         _, answer = fghttp.request_json("GET", self.platform_addr(), path)
         return len(answer.get("rows", []))
 
     def events(self, name):
-        """History of one process, or of all with the name "all"."""
+        """Returns the events of a process; of all processes for "all"."""
         names = list(self.processes) if name == "all" else [name]
         events = []
-        for each in names:
-            path = self.processes[each].history
+        for process_name in names:
+            path = self.processes[process_name].history
             if not os.path.exists(path):
                 continue
             with open(path, encoding="utf-8") as lines:
-                # The last line may be half written.
+                # The last line may be incomplete.
                 events += [json.loads(l) for l in lines if l.endswith("\n")]
         return events
 
@@ -158,7 +159,7 @@
         process.killed = True
         process.popen.kill()
         process.popen.wait()
-        self.on_life("dead", name)
+        self.on_process_event("dead", name)
 
     def terminate(self, name):
         process = self.processes[name]
@@ -166,55 +167,56 @@
         process.popen.terminate()
 
     def wait_exit(self, name):
-        """Exit status, or None when it does not end."""
+        """Returns the exit status, or None when the process does not end."""
         process = self.processes[name]
         try:
-            status = process.popen.wait(STOP_S)
+            status = process.popen.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             return None
         if not process.killed:
             process.killed = True
-            self.on_life("dead", name)
+            self.on_process_event("dead", name)
         return status
 
-    def freeze(self, name, frozen):
+    def set_frozen(self, name, frozen):
         process = self.processes[name]
         process.frozen = frozen
         process.popen.send_signal(signal.SIGSTOP if frozen
                                   else signal.SIGCONT)
 
     def stop_all(self):
-        """Ends everything; returns complaints about exits."""
-        complaints = []
+        """Ends all processes; returns messages about unexpected exits."""
+        exit_errors = []
         running = [p for p in self.processes.values() if p.running()]
-        # Entries first: a planned stop hands over through the platform.
+        # Entries first: a planned stop needs the platform for the handover.
         entries = [p for p in running if p.kind == "entry"]
-        self.stop_each(entries, complaints)
-        self.stop_each([p for p in running if p not in entries], complaints)
+        self.terminate_all(entries, exit_errors)
+        self.terminate_all([p for p in running if p not in entries],
+                           exit_errors)
         for process in self.processes.values():
             if (process.kind == "entry" and process not in running and
                     not process.killed):
-                complaints.append(f"{process.name}: ended by itself, status "
-                                  f"{process.popen.returncode}")
-        return complaints
+                exit_errors.append(f"{process.name}: ended by itself, status "
+                                   f"{process.popen.returncode}")
+        return exit_errors
 
-    def stop_each(self, running, complaints):
+    def terminate_all(self, running, exit_errors):
         for process in running:
             if process.frozen:
-                self.freeze(process.name, False)
+                self.set_frozen(process.name, False)
             process.popen.terminate()
         for process in running:
             try:
-                status = process.popen.wait(STOP_S)
+                status = process.popen.wait(STOP_TIMEOUT_S)
                 if status != 0:
-                    complaints.append(f"{process.name}: exit status {status}")
+                    exit_errors.append(f"{process.name}: exit status {status}")
             except subprocess.TimeoutExpired:
                 process.popen.kill()
                 process.popen.wait()
-                complaints.append(f"{process.name}: did not end")
+                exit_errors.append(f"{process.name}: did not end")
 
     def logs(self):
-        """Ends of the processes' own messages, for a failed run."""
+        """Returns the last log lines of each process, for a failed run."""
         text = ""
         for name in sorted(os.listdir(self.dir)):
             if name.endswith(".log") and os.path.getsize(self.path(name)):
--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -1,5 +1,5 @@
-"""fg-gateway processes before stand-ins of the users' store and replicas, and
-calls to them, for tests."""
+"""Runs fg-gateway processes with stand-ins of the users' store and replicas,
+and sends requests to them."""
 
 import http.client
 import json
@@ -23,17 +23,17 @@
 WAIT_S = 15
 
 
-def wait_for(what, check, limit_s=WAIT_S):
+def wait_for(what, condition, limit_s=WAIT_S):
     end = time.monotonic() + limit_s
     while time.monotonic() < end:
-        value = check()
+        value = condition()
         if value:
             return value
         time.sleep(0.02)
     raise AssertionError(f"not seen within {limit_s} s: {what}")
 
 
-def expect(ok, what):
+def check(ok, what):
     if not ok:
         raise AssertionError(what)
 
@@ -48,7 +48,7 @@
     return ports
 
 
-def config(version, timeout_ms=4000, idle_ms=15000, extra_routes=()):
+def make_config(version, timeout_ms=4000, idle_ms=15000, extra_routes=()):
     routes = [
         {"name": "draft", "host": HOST, "prefix": "/draft/",
          "kind": "streaming", "timeoutMs": timeout_ms, "service": "models",
@@ -76,42 +76,42 @@
 
 
 class Gateway:
-    """`store` is the address of the store as this instance sees it."""
+    """A gateway process; `store` is the address that it uses for the store."""
 
     def __init__(self, store, name, folder, dc="dc1"):
         ports = free_ports(5)
-        self.front, self.ready, self.directory, self.mesh, self.pages = (
+        self.front, self.ready, self.directory, self.mesh, self.metrics = (
             "127.0.0.1:%d" % p for p in ports)
         self.name = name
         self.dc = dc
-        self.settings = os.path.join(folder, name + ".yaml")
+        self.settings_path = os.path.join(folder, name + ".yaml")
         self.log_path = os.path.join(folder, name + ".log")
         self.write_settings(store)
         self.popen = None
         self.start()
 
     def write_settings(self, store, extra="lookup_ttl_s: 2\n"):
-        with open(self.settings, "w", encoding="utf-8") as f:
+        with open(self.settings_path, "w", encoding="utf-8") as f:
             f.write(f"name: {self.name}\nregion: r1\ndc: {self.dc}\n"
                     f"front: {self.front}\nready: {self.ready}\n"
                     f"directory: {self.directory}\nmesh: {self.mesh}\n"
-                    f"metrics: {self.pages}\nstore: {store}\n"
+                    f"metrics: {self.metrics}\nstore: {store}\n"
                     "retry_ratio: 0.2\nretry_slack: 58\nstop_grace_s: 8\n"
                     f"version_ms: 3000\n{extra}"
                     "data_centres:\n  - name: dc1\n    region: r1\n"
                     "  - name: dc2\n    region: r1\n")
 
     def start(self):
-        self.log_from = (os.path.getsize(self.log_path)
-                         if os.path.exists(self.log_path) else 0)
+        self.log_offset = (os.path.getsize(self.log_path)
+                           if os.path.exists(self.log_path) else 0)
         with open(self.log_path, "ab") as log:
-            self.popen = subprocess.Popen([BIN, "--config", self.settings],
-                                          stdout=log, stderr=log)
+            self.popen = subprocess.Popen(
+                [BIN, "--config", self.settings_path], stdout=log, stderr=log)
 
-    def started(self):
-        """Did the process of the last start get as far as to serve?"""
+    def has_started(self):
+        """True when the process of the last start has begun to serve."""
         with open(self.log_path, "rb") as f:
-            f.seek(self.log_from)
+            f.seek(self.log_offset)
             return b"event=started" in f.read()
 
     def log(self):
@@ -119,36 +119,36 @@
             return f.read()
 
     def is_ready(self):
-        return get(self.ready, "/api/readiness")[0] == 200
+        return http_get(self.ready, "/api/readiness")[0] == 200
 
     def state(self):
-        return get(self.pages, "/state")[1]
+        return http_get(self.metrics, "/state")[1]
 
-    def reads_store(self, does=True):
-        return f" reads_store={int(does)} " in self.state()
+    def reads_store(self, expected=True):
+        return f" reads_store={int(expected)} " in self.state()
 
     def store_calls(self):
         return sum(int(w[6:]) for w in self.state().split()
                    if w.startswith("calls="))
 
-    def owned(self):
+    def owned_endpoints(self):
         return [line for line in self.state().splitlines()
                 if line.startswith("endpoint") and " fence=0 " not in line]
 
-    def end(self):
+    def kill(self):
         if self.popen.poll() is None:
             self.popen.kill()
         self.popen.wait()
 
 
 class System:
-    """With `proxied`, each gateway sees the store through a proxy of its own,
-    in `store_proxies`."""
+    """Store, replicas and gateways. With `proxied`, each gateway reaches the
+    store through a proxy of its own, in `store_proxies`."""
 
     def __init__(self, engines=2, plains=2, gateways=1, proxied=False, dcs=1):
         self.folder = tempfile.TemporaryDirectory()
         self.store = Store()
-        self.store.put("op", "config", config(1))
+        self.store.put("op", "config", make_config(1))
         self.engines = [Replica(self.store, f"e{i}", "models", True)
                         for i in range(engines)]
         self.plains = [Replica(self.store, f"p{i}", "orders", False)
@@ -164,18 +164,18 @@
             wait_for("ready", gateway.is_ready)
         if engines > 0:
             wait_for("engines have an owner", lambda: sum(
-                len(g.owned()) for g in self.gateways) == engines)
+                len(g.owned_endpoints()) for g in self.gateways) == engines)
 
-    def ran(self, rid):
-        return sum(r.ran.count(rid) for r in self.engines + self.plains)
+    def run_count(self, rid):
+        return sum(r.run_ids.count(rid) for r in self.engines + self.plains)
 
-    def end(self):
+    def close(self):
         for gateway in self.gateways:
-            gateway.end()
+            gateway.kill()
         self.folder.cleanup()
 
 
-def get(addr, path):
+def http_get(addr, path):
     host, port = addr.split(":")
     conn = http.client.HTTPConnection(host, int(port), timeout=5)
     try:
@@ -196,15 +196,15 @@
         self.whole = whole
 
 
-N = [0]
+request_count = [0]
 
 
 def next_id():
-    N[0] += 1
-    return f"req{N[0]}"
+    request_count[0] += 1
+    return f"req{request_count[0]}"
 
 
-def call(addr, path, rid=None, method="POST", body=b"x", headers=None,
+def send(addr, path, rid=None, method="POST", body=b"x", headers=None,
          timeout_s=8):
     host, port = addr.split(":")
     conn = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
@@ -225,16 +225,16 @@
         conn.close()
 
 
-def draft(gw, adapter="a1", path="/draft/1", rid=None, headers=None):
-    return call(gw.front, path, rid, headers={
+def send_draft(gw, adapter="a1", path="/draft/1", rid=None, headers=None):
+    return send(gw.front, path, rid, headers={
         "Model": f"{MODEL}/{adapter}", "Token-Count": "100,20",
         **(headers or {})})
 
 
-def pieces(answer):
+def event_ids(answer):
     return [int(line[4:]) for line in answer.body.splitlines()
             if line.startswith("id: ")]
 
 
-def all_pieces(answer):
-    return answer.whole and pieces(answer) == list(range(1, EVENTS + 1))
+def has_all_events(answer):
+    return answer.whole and event_ids(answer) == list(range(1, EVENTS + 1))
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Runs a scenario (docs/TESTING.md) and compares its output.
+"""Runs a scenario script (docs/TESTING.md) and compares its output.
 
 Usage: scenario.py [--print] [--keep] [--switch=NAME[,NAME]] FILE.fgs
-  --print   print the output, compare nothing
-  --keep    keep the directory of histories and logs, and name it
-  --switch  turn mechanisms off in every entry (docs/TESTING.md)
+  --print   print the output without comparing it
+  --keep    keep the directory of histories and logs, and print its path
+  --switch  disable mechanisms in every entry (docs/TESTING.md)
 Environment: BUILD (build), FG_PORT_BASE (21000).
 Exits with 0 when the output equals FILE.out.
 """
@@ -20,14 +20,14 @@
 import sys
 import time
 
-from demo_verdict import Verdict
+from demo_verdict import AnswerChecker
 import fghttp
 from fgcaller import Change, History, Request
 from fgsystem import System
 
 WAIT_DEFAULT_MS = 15000
 CHANGE_WAIT_MS = 10000
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 SCENARIO_MAX_S = 180
 FLAGS = ("stream", "retry", "async")
 
@@ -37,23 +37,23 @@
         return script.read().splitlines()
 
 
-class Failure(Exception):
-    """The scenario cannot go on."""
+class ScenarioError(Exception):
+    """A statement failed; the scenario ends."""
 
 
 def split_options(words):
-    """Turns k=v words and flags into a dictionary."""
+    """Returns a dictionary of the k=v words and flags."""
     options = {}
     for word in words:
         name, eq, value = word.partition("=")
         if not eq and name not in FLAGS:
-            raise Failure(f"unknown option {word}")
+            raise ScenarioError(f"unknown option {word}")
         options[name] = value
     return options
 
 
-def take_within(words):
-    """Removes "within MS" from the end; returns the bound in seconds."""
+def pop_timeout_s(words):
+    """Removes "within MS" from the end; returns the timeout in seconds."""
     if len(words) >= 2 and words[-2] == "within":
         ms = int(words[-1])
         del words[-2:]
@@ -62,7 +62,8 @@
 
 
 def look_up(obj, path):
-    """Value at a dotted path; list items by their name or index."""
+    """Returns the value at a dotted path, or None. List items are selected by
+    name or index; "length" is the number of items."""
     for part in path.split("."):
         if part == "length" and isinstance(obj, (list, dict)):
             obj = len(obj)
@@ -86,7 +87,7 @@
     return value if isinstance(value, str) else json.dumps(value)
 
 
-def compare(value, op, wanted):
+def compare_values(value, op, wanted):
     if op == "==":
         return as_text(value) == wanted
     if op == "!=":
@@ -97,26 +98,26 @@
 
 
 class Scenario:
-    """Interprets one script."""
+    """Interprets one script and collects its output in `out`."""
 
     def __init__(self, build, port_base, directory):
-        self.directory = directory  # of the script
-        self.system = System(build, port_base, self.on_life)
+        self.directory = directory  # directory of the script
+        self.system = System(build, port_base, self.on_process_event)
         self.test_history = History(self.system.path("test.jsonl"), "test")
         self.callers = History(self.system.path("caller.jsonl"), "caller")
         self.build = build
-        self.settings = {}  # of every entry
-        self.tagged = {}
+        self.settings = {}  # settings of every entry
+        self.items_by_tag = {}
         self.loads = {}
         self.out = []
 
-    def on_life(self, ev, name, **fields):
+    def on_process_event(self, ev, name, **fields):
         self.test_history.add(ev, name=name, **fields)
 
-    def say(self, text):
+    def print_line(self, text):
         self.out.append(text)
 
-    # ---- script ----
+    # ---- script control ----
 
     def run(self, lines):
         pos = 0
@@ -124,10 +125,10 @@
             line = lines[pos].strip()
             if line.startswith("repeat "):
                 end = self.find_end(lines, pos)
-                self.repeat(line.split(), lines[pos + 1:end])
+                self.run_repeat(line.split(), lines[pos + 1:end])
                 pos = end
             elif line and not line.startswith("#"):
-                self.statement(line)
+                self.run_statement(line)
             pos += 1
 
     def do_include(self, rest):
@@ -141,23 +142,23 @@
             depth += (word == "repeat") - (word == "end")
             if depth == 0:
                 return i
-        raise Failure("repeat without end")
+        raise ScenarioError("repeat without end")
 
-    def repeat(self, words, body):
+    def run_repeat(self, words, body):
         variable = words[3] if len(words) > 3 else "i"
         for i in range(1, int(words[1]) + 1):
             self.run([re.sub(rf"\${variable}\b", str(i), line)
                       for line in body])
 
-    def statement(self, line):
+    def run_statement(self, line):
         verb, _, rest = line.partition(" ")
         action = getattr(self, "do_" + verb, None)
         if action is None:
-            raise Failure(f"unknown statement: {line}")
+            raise ScenarioError(f"unknown statement: {line}")
         try:
             action(rest.strip())
         except (KeyError, IndexError, ValueError, RuntimeError) as error:
-            raise Failure(f"{line}: {error!r}") from error
+            raise ScenarioError(f"{line}: {error!r}") from error
 
     # ---- processes ----
 
@@ -173,7 +174,7 @@
             settings.update(word.split("=", 1) for word in words[2:])
             self.system.start_entry(words[1], settings)
         else:
-            raise Failure(f"cannot start {kind}")
+            raise ScenarioError(f"cannot start {kind}")
 
     def do_timing(self, rest):
         self.settings["timing"] = rest
@@ -185,23 +186,23 @@
         words = rest.split()
         self.system.terminate(words[0])
         if "async" not in words[1:]:
-            self.say(f"stop {words[0]}: exit status "
-                     f"{self.system.wait_exit(words[0])}")
+            self.print_line(f"stop {words[0]}: exit status "
+                            f"{self.system.wait_exit(words[0])}")
 
     def do_freeze(self, rest):
-        self.system.freeze(rest, True)
+        self.system.set_frozen(rest, True)
 
     def do_thaw(self, rest):
-        self.system.freeze(rest, False)
+        self.system.set_frozen(rest, False)
 
     def do_control(self, rest):
         name, _, text = rest.partition(" ")
         addr = self.system.processes[name].control
         op = json.loads(text)
         status, _ = fghttp.request("POST", addr, "/control", op)
-        # A process that is told to crash does not answer.
+        # A process that crashes does not answer.
         if status != 200 and op.get("op") != "crash":
-            raise Failure(f"control {name}: status {status}")
+            raise ScenarioError(f"control {name}: status {status}")
         if op.get("op") == "crash":
             self.system.wait_exit(name)
 
@@ -219,7 +220,7 @@
                 addr, path = process.addr, "/v1/test/cut"
             status, _ = fghttp.request("POST", addr, path, body)
             if status != 200:
-                raise Failure(f"{path} at {one}: status {status}")
+                raise ScenarioError(f"{path} at {one}: status {status}")
 
     def do_cut(self, rest):
         self.set_cut(rest, True)
@@ -240,18 +241,19 @@
         addr = self.system.processes[name].addr
         change.start(addr)
         if change.tag:
-            self.tagged[change.tag] = change
+            self.items_by_tag[change.tag] = change
             return
         change.finish()
         end = time.monotonic() + WAIT_DEFAULT_MS / 1000
         while (words == ["retry"] and change.status == "down" and
                time.monotonic() < end):
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
             change.run(addr)
-        self.say(f"change {name}: {change.status}")
+        self.print_line(f"change {name}: {change.status}")
 
-    def pick_addr(self, request, via):
-        """The named entry, or the first that a lookup answers with."""
+    def choose_addr(self, request, via):
+        """Returns the address of the entry `via`, else the first address that
+        a lookup returns."""
         if via:
             return self.system.processes[via].addr
         key = "adapter" if request.is_generation() else "service"
@@ -267,11 +269,11 @@
         words = shlex.split(rest)
         options = split_options(words[3:])
         request = Request(words[0], words[1], words[2], options)
-        if request.tag in self.tagged:
-            raise Failure(f"tag {request.tag} is used twice")
+        if request.tag in self.items_by_tag:
+            raise ScenarioError(f"tag {request.tag} is used twice")
         via = options.get("via")
-        self.tagged[request.tag] = request
-        request.start(self.callers, lambda r: self.pick_addr(r, via))
+        self.items_by_tag[request.tag] = request
+        request.start(self.callers, lambda r: self.choose_addr(r, via))
         if "async" not in options:
             request.finish()
 
@@ -288,55 +290,58 @@
 
     def do_expect(self, rest):
         words = rest.split()
-        some = None
+        expected_count = None
         if len(words) > 2 and words[1] == "of":
-            some = int(words[0])
+            expected_count = int(words[0])
             words = words[2:]
         pattern, wanted = words[0], words[1:]
         if pattern in self.loads:
             status = self.loads[pattern].wait(SCENARIO_MAX_S)
-            self.say(f"expect {rest}: " +
-                     ("ok" if status == 0 else f"exit status {status}"))
+            self.print_line(f"expect {rest}: " +
+                            ("ok" if status == 0 else f"exit status {status}"))
             return
-        tags = [t for t in self.tagged if fnmatch.fnmatchcase(t, pattern)]
-        missed = [t for t in tags if not self.meets(t, wanted)]
-        if some is None:
-            ok = bool(tags) and not missed
+        tags = [t for t in self.items_by_tag
+                if fnmatch.fnmatchcase(t, pattern)]
+        mismatched = [t for t in tags if not self.matches(t, wanted)]
+        if expected_count is None:
+            ok = bool(tags) and not mismatched
         else:
-            ok = len(tags) - len(missed) == some
-        self.say(f"expect {rest}: " + ("ok" if ok else self.describe(tags)))
+            ok = len(tags) - len(mismatched) == expected_count
+        self.print_line(f"expect {rest}: " +
+                        ("ok" if ok else self.describe_results(tags)))
 
-    def meets(self, tag, wanted):
-        item = self.tagged[tag]
+    def matches(self, tag, wanted):
+        item = self.items_by_tag[tag]
         if not item.finish():
             return False
-        words = item.words()
+        words = item.result_words()
         return all(words & set(alternatives.split("|"))
                    for alternatives in wanted)
 
-    def describe(self, tags):
-        parts = [f"{t} {' '.join(sorted(self.tagged[t].words()))}"
+    def describe_results(self, tags):
+        parts = [f"{t} {' '.join(sorted(self.items_by_tag[t].result_words()))}"
                  for t in tags]
         return "got " + ("; ".join(parts) if parts else "nothing")
 
     def do_wait(self, rest):
         words = shlex.split(rest)
-        within_s = take_within(words)
+        timeout_s = pop_timeout_s(words)
         if words[0] != "until":
-            raise Failure("wait needs until")
+            raise ScenarioError("wait needs until")
         words = words[1:]
-        end = time.monotonic() + within_s
+        end = time.monotonic() + timeout_s
         while True:
-            ok, value = self.condition(words)
+            ok, value = self.evaluate_condition(words)
             if ok:
-                self.say(f"wait {rest}: ok")
+                self.print_line(f"wait {rest}: ok")
                 return
             if time.monotonic() > end:
-                raise Failure(f"wait {rest}: timed out at {as_text(value)}")
-            time.sleep(POLL_S)
+                raise ScenarioError(
+                    f"wait {rest}: timed out at {as_text(value)}")
+            time.sleep(POLL_INTERVAL_S)
 
-    def condition(self, words):
-        """Returns (holds, value seen)."""
+    def evaluate_condition(self, words):
+        """Returns (whether the condition holds, value seen)."""
         if words[0] == "log":
             count = self.count_events(words[1], words[2:])
             return count > 0, count
@@ -353,7 +358,7 @@
         else:
             state = self.system.state(words[0])
         value = look_up(state, words[1])
-        return compare(value, words[2], words[3]), value
+        return compare_values(value, words[2], words[3]), value
 
     def count_events(self, name, words):
         wanted = dict(word.split("=", 1) for word in words)
@@ -366,10 +371,10 @@
         """count log NAME k=v ...: prints the number of events."""
         words = shlex.split(rest)
         count = self.count_events(words[1], words[2:])
-        self.say(f"count {rest}: {count}")
+        self.print_line(f"count {rest}: {count}")
 
     def do_say(self, rest):
-        self.say(rest)
+        self.print_line(rest)
 
     # ---- histories ----
 
@@ -379,61 +384,62 @@
 
     def do_check(self, rest):
         if rest != "history":
-            raise Failure(f"cannot check {rest}")
-        for item in self.tagged.values():
+            raise ScenarioError(f"cannot check {rest}")
+        for item in self.items_by_tag.values():
             item.finish()
-        wrong = self.check_answers() + self.check_all()
-        self.say("check history: " + ("ok" if not wrong else "wrong"))
-        for text in wrong:
-            self.say("  " + text)
+        errors = self.check_answers() + self.run_history_checker()
+        self.print_line("check history: " + ("ok" if not errors else "wrong"))
+        for text in errors:
+            self.print_line("  " + text)
 
     def check_answers(self):
-        """What callers were told against the endpoints' own logs."""
+        """Checks the answers to callers against the logs of the endpoints."""
         caller, endpoints = [], []
         for path in self.history_files():
             with open(path, encoding="utf-8") as lines:
                 events = [json.loads(line) for line in lines]
             is_caller = os.path.basename(path).startswith("caller")
             (caller if is_caller else endpoints).extend(events)
-        verdict = Verdict({}, caller, endpoints)
-        for tag in verdict.invokes:
-            verdict.check_return(tag)
-            self.check_cut_off(verdict, tag)
-        verdict.check_filings()
-        return verdict.wrong
-
-    def check_cut_off(self, verdict, tag):
-        """A stopped entry answers what reached it before its stop."""
-        invoke = verdict.invokes[tag]
-        ret = verdict.returns.get(tag)
-        if ret is None or ret["reason"] != "connection_lost":
+        checker = AnswerChecker({}, caller, endpoints)
+        for tag in checker.invokes:
+            checker.check_return(tag)
+            self.check_planned_stop(checker, tag)
+        checker.check_filings()
+        return checker.errors
+
+    def check_planned_stop(self, checker, tag):
+        """A planned stop must not cut off requests sent before the stop."""
+        invoke = checker.invokes[tag]
+        answer = checker.returns.get(tag)
+        if answer is None or answer["reason"] != "connection_lost":
             return
         for process in self.system.processes.values():
             if process.addr != invoke["entry"] or process.stopped_ms is None:
                 continue
             if invoke["t"] < process.stopped_ms:
-                verdict.fail(f"{tag}: cut off by the stop of {process.name}")
+                checker.add_error(
+                    f"{tag}: cut off by the stop of {process.name}")
 
-    def check_all(self):
-        """The history checker, when it is built."""
+    def run_history_checker(self):
+        """Runs fg-check on all histories, if it is built."""
         checker = os.path.join(self.build, "bin", "fg-check")
         if not os.path.exists(checker):
             print("note: fg-check is not built; checked answers alone",
                   file=sys.stderr)
             return []
-        done = subprocess.run([checker] + self.history_files(), text=True,
-                              stdout=subprocess.PIPE,
-                              stderr=subprocess.STDOUT, timeout=60,
-                              check=False)
-        return done.stdout.splitlines() if done.returncode else []
+        result = subprocess.run([checker] + self.history_files(), text=True,
+                                stdout=subprocess.PIPE,
+                                stderr=subprocess.STDOUT, timeout=60,
+                                check=False)
+        return result.stdout.splitlines() if result.returncode else []
 
     def finish(self):
         for load in self.loads.values():
             if load.poll() is None:
                 load.terminate()
                 load.wait()
-        for complaint in self.system.stop_all():
-            self.say(complaint)
+        for exit_error in self.system.stop_all():
+            self.print_line(exit_error)
         self.test_history.close()
         self.callers.close()
 
@@ -450,8 +456,8 @@
             f"{name}: true" for name in switches)
     try:
         scenario.run(lines)
-    except Failure as failure:
-        scenario.say(f"failed: {failure}")
+    except ScenarioError as error:
+        scenario.print_line(f"failed: {error}")
     except BaseException:
         signal.alarm(0)
         scenario.finish()
@@ -463,7 +469,7 @@
 
 
 def on_alarm(_signum, _frame):
-    raise Failure(f"took more than {SCENARIO_MAX_S} s")
+    raise ScenarioError(f"took more than {SCENARIO_MAX_S} s")
 
 
 def main(args):
--- a/tests/seeded.py
+++ b/tests/seeded.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""A concurrent run under random faults, judged by the history checker.
+"""Runs a whole system under random faults and checks the histories.
 
-seeded.py [--seed N] [--deployment huerta|association] [--seconds S] [--keep]
+Usage: seeded.py [--seed N] [--deployment huerta|association] [--seconds S]
+                 [--keep]
 
 Starts a platform, engines, plain services and entry instances on loopback,
-sends requests all the while, and carries out a fault script that depends on
-the seed alone; the same seed gives the same script. Afterwards all faults are
-healed, new requests must be answered DONE, all entries are stopped, and
-fg-check must find every promise kept. Exits 0 then.
+sends requests continuously, and injects the faults of a script that depends on
+the seed alone. Then heals all faults and stops all entries. Exits with 0 when
+new requests are answered DONE after healing and fg-check finds no violation.
 """
 
 import argparse
@@ -24,9 +24,9 @@
 from fgsystem import System
 
 ADAPTERS = 40
-HEAL_S = 40
-KEYS = 25  # filings share keys, so that repeats meet each other
-# Both deployments' shares, scaled to one machine.
+HEAL_TIMEOUT_S = 40
+SHARED_KEYS = 25  # few enough that filings with the same key are concurrent
+# Proportions of both deployments, scaled down to one machine.
 DEPLOYMENTS = {
     "huerta": {"entries": 8, "engines": 6, "plain": 3, "loads": 5,
                "mix": "interactive=50,draft=20,status=15,filing=15"},
@@ -39,7 +39,8 @@
 
 
 def fault_script(seed, size, seconds):
-    """List of (time, fault, target, duration), by the seed alone."""
+    """Returns a list of (time, fault, target, duration); depends on the seed
+    and the size alone."""
     rng = random.Random(seed)
     entries = [f"n{i}" for i in range(1, size["entries"] + 1)]
     engines = [f"e{i}" for i in range(1, size["engines"] + 1)]
@@ -63,23 +64,24 @@
     return script
 
 
-class Run:
+class SeededRun:
     def __init__(self, build, port_base, seed, size):
         self.seed = seed
         self.size = size
         self.rng = random.Random(seed + 1)
-        self.system = System(build, port_base, self.on_life)
-        self.test = History(self.system.path("test.jsonl"), "test")
+        self.system = System(build, port_base, self.on_process_event)
+        self.test_history = History(self.system.path("test.jsonl"), "test")
         self.callers = History(self.system.path("caller.jsonl"), "caller")
         self.load = None
-        self.healing = []  # (time, function)
-        self.replaced = {}  # name in the script -> name that runs
+        self.scheduled = []  # (time, function)
+        self.current_names = {}  # name in the script -> running process
         self.stopping = threading.Event()
-        self.filer = threading.Thread(target=self.file_all, daemon=True)
+        self.filing_thread = threading.Thread(
+            target=self.send_shared_filings, daemon=True)
         self.changes = 0
 
-    def on_life(self, ev, name, **fields):
-        self.test.add(ev, name=name, **fields)
+    def on_process_event(self, ev, name, **fields):
+        self.test_history.add(ev, name=name, **fields)
 
     # ---- Start ----
 
@@ -116,17 +118,17 @@
                 {"kind": "version_add", "adapter": name, "version": "v1"},
                 {"kind": "right_grant", "adapter": name, "caller": "*"}]
         change = {"kind": "batch", "changes": changes}
-        end = time.monotonic() + HEAL_S
+        end = time.monotonic() + HEAL_TIMEOUT_S
         while time.monotonic() < end:
             if self.change(change) == "accepted":
                 return
             if self.change({"kind": "preset_set", "preset": "ordinary"}) == \
-                    "accepted" and self.knows("a0001"):
+                    "accepted" and self.has_adapter("a0001"):
                 return
             time.sleep(0.2)
         raise RuntimeError("the adapters were not accepted")
 
-    def knows(self, adapter):
+    def has_adapter(self, adapter):
         entry = self.system.entries()[0]
         return adapter in fghttp.request("GET", entry.addr,
                                          "/v1/admin/catalogue")[1]
@@ -155,20 +157,21 @@
              "--workers", "128", "--max-tokens", "24",
              "--history", self.system.path("load.jsonl")],
             stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
-        self.filer.start()
+        self.filing_thread.start()
 
     def any_entry(self, _req=None):
         entries = self.system.entries()
         return entries[self.rng.randrange(len(entries))].addr
 
-    def file_all(self):
-        """The same few keys again and again, at two entries at once."""
+    def send_shared_filings(self):
+        """Sends filings in pairs with the same key, from a few keys, each to a
+        random entry."""
         number = 0
         while not self.stopping.is_set():
             pair = []
             for _ in range(2):
                 number += 1
-                key = f"shared-{number // 2 % KEYS}"
+                key = f"shared-{number // 2 % SHARED_KEYS}"
                 pair.append(Request(f"file{number}", "filing", "orders",
                                     {"key": key, "deadline": 4000,
                                      "prompt": key}))
@@ -183,32 +186,32 @@
         process = self.system.processes[name]
         fghttp.request("POST", process.control, "/control", body, timeout_s=2)
 
-    def later(self, seconds, action):
-        self.healing.append((time.monotonic() + seconds, action))
+    def schedule(self, seconds, action):
+        self.scheduled.append((time.monotonic() + seconds, action))
 
-    def heal_due(self, everything=False):
-        due = [h for h in self.healing
+    def run_due(self, everything=False):
+        due = [h for h in self.scheduled
                if everything or h[0] <= time.monotonic()]
-        self.healing = [h for h in self.healing if h not in due]
+        self.scheduled = [h for h in self.scheduled if h not in due]
         for _, action in sorted(due, key=lambda h: h[0]):
             action()
 
-    def running(self, target):
-        name = self.replaced.get(target, target)
+    def running_name(self, target):
+        name = self.current_names.get(target, target)
         process = self.system.processes[name]
         if not process.running() or process.frozen:
             return None
         return name
 
-    def successor(self, target):
-        name = self.replaced.get(target, target)
+    def next_name(self, target):
+        name = self.current_names.get(target, target)
         base, _, count = name.partition("r")
         successor = f"{base}r{int(count or 0) + 1}"
-        self.replaced[target] = successor
+        self.current_names[target] = successor
         return successor
 
     def replace_entry(self, target):
-        self.start_entry(self.successor(target))
+        self.start_entry(self.next_name(target))
 
     def set_cut(self, one, other, cut):
         for a, b in ((one, other), (other, one)):
@@ -217,8 +220,8 @@
                                "/v1/test/cut", {"name": b, "cut": cut},
                                timeout_s=2)
 
-    def carry_out(self, kind, target, seconds):
-        name = self.running(target)
+    def inject(self, kind, target, seconds):
+        name = self.running_name(target)
         if name is None:
             return
         action = getattr(self, "do_" + kind)
@@ -226,26 +229,26 @@
 
     def do_kill(self, target, name, seconds):
         self.system.kill(name)
-        self.later(seconds, lambda: self.replace_entry(target))
+        self.schedule(seconds, lambda: self.replace_entry(target))
 
     def do_stop(self, target, name, seconds):
-        self.system.processes[name].killed = True  # its end is planned
+        self.system.processes[name].killed = True  # its end is expected
         self.system.terminate(name)
         self.replace_entry(target)
 
     def do_freeze(self, target, name, seconds):
-        self.system.freeze(name, True)
-        self.later(seconds, lambda: self.system.freeze(name, False))
+        self.system.set_frozen(name, True)
+        self.schedule(seconds, lambda: self.system.set_frozen(name, False))
 
     def do_cut(self, target, name, seconds):
         others = [p.name for p in self.system.entries() if p.name != name]
         other = others[self.rng.randrange(len(others))]
         self.set_cut(name, other, True)
-        self.later(seconds, lambda: self.set_cut(name, other, False))
+        self.schedule(seconds, lambda: self.set_cut(name, other, False))
 
     def do_cut_platform(self, target, name, seconds):
         self.control("platform", {"op": "cut", "name": name})
-        self.later(seconds, lambda: self.control(
+        self.schedule(seconds, lambda: self.control(
             "platform", {"op": "heal", "name": name}))
 
     def do_outage(self, target, name, seconds):
@@ -268,11 +271,11 @@
         self.control(name, {"op": "cross"})
 
     def do_leave(self, target, name, seconds):
-        """It leaves, is ended some seconds later, and another comes."""
+        """Starts a replacement, lets the endpoint leave and ends it later."""
         kind = "engine" if target[0] == "e" else "plain"
         self.control(name, {"op": "leave"})
-        self.start_endpoint(kind, self.successor(target), int(target[1:]))
-        self.later(8, lambda: self.system.terminate(name))
+        self.start_endpoint(kind, self.next_name(target), int(target[1:]))
+        self.schedule(8, lambda: self.system.terminate(name))
 
     def do_change(self, target, name, seconds):
         presets = ["ordinary", "peak"]
@@ -284,48 +287,50 @@
         threading.Thread(target=fghttp.request, daemon=True, args=(
             "POST", addr, "/v1/admin/change", body)).start()
 
-    def counted(op):
+    def make_counted_fault(op):
         def action(self, target, name, seconds):
             self.control(name, {"op": op, "count": 2})
         return action
 
-    do_fail_load = counted("fail_load")
-    do_truncate = counted("truncate")
-    do_garble = counted("garble")
-    do_refuse = counted("refuse")
+    do_fail_load = make_counted_fault("fail_load")
+    do_truncate = make_counted_fault("truncate")
+    do_garble = make_counted_fault("garble")
+    do_refuse = make_counted_fault("refuse")
 
-    def carry_out_all(self, script):
+    def inject_all(self, script):
         begin = time.monotonic()
         for when, kind, target, seconds in script:
             while time.monotonic() < begin + when:
-                self.heal_due()
+                self.run_due()
                 time.sleep(0.02)
-            self.carry_out(kind, target, seconds)
+            self.inject(kind, target, seconds)
 
     # ---- End ----
 
     def probe(self):
-        """After healing, work of each class is done again."""
-        end = time.monotonic() + HEAL_S
-        missing = {"interactive": "a0001", "status": "orders",
-                   "filing": "orders"}
+        """Sends requests of each class until one is answered DONE; returns the
+        classes without such an answer."""
+        end = time.monotonic() + HEAL_TIMEOUT_S
+        unserved = {"interactive": "a0001", "status": "orders",
+                    "filing": "orders"}
         number = 0
-        while missing and time.monotonic() < end:
-            for cls, target in list(missing.items()):
+        while unserved and time.monotonic() < end:
+            for cls, target in list(unserved.items()):
                 number += 1
                 req = Request(f"probe{number}", cls, target,
                               {"key": f"probe-{number}", "deadline": 5000})
                 req.start(self.callers, self.any_entry)
                 req.finish()
                 if req.outcome == "DONE" and req.whole:
-                    del missing[cls]
+                    del unserved[cls]
             time.sleep(0.1)
-        return sorted(missing)
+        return sorted(unserved)
 
     def stop(self):
-        """Ends the load, then the entries by a planned stop, then the rest."""
+        """Ends the load, then the entries by a planned stop, then the other
+        processes."""
         self.stopping.set()
-        self.filer.join(10)
+        self.filing_thread.join(10)
         self.load.wait(60)
         entries = self.system.entries()
         for entry in entries:
@@ -359,25 +364,26 @@
             print(*step)
         return 0
     os.environ["FG_TEST"] = "1"
-    run = Run(os.environ.get("BUILD", "build"),
-              int(os.environ.get("FG_PORT_BASE", "20000")), args.seed, size)
+    run = SeededRun(os.environ.get("BUILD", "build"),
+                    int(os.environ.get("FG_PORT_BASE", "20000")),
+                    args.seed, size)
     print(f"seeded: seed {args.seed}, {args.deployment}, {len(script)} faults")
     try:
         run.start()
         run.start_load(args.seconds)
-        run.carry_out_all(script)
-        run.heal_due(everything=True)
-        missing = run.probe()
-        complaints = run.stop()
-        status, verdict = run.check()
+        run.inject_all(script)
+        run.run_due(everything=True)
+        unserved = run.probe()
+        exit_errors = run.stop()
+        status, check_output = run.check()
     finally:
         run.system.stop_all()
-    print(verdict, end="")
-    for cls in missing:
+    print(check_output, end="")
+    for cls in unserved:
         print(f"not served after healing: {cls}")
-    for complaint in complaints:
-        print(complaint)
-    ok = status == 0 and not missing and not complaints
+    for exit_error in exit_errors:
+        print(exit_error)
+    ok = status == 0 and not unserved and not exit_errors
     if args.keep or not ok:
         print(f"histories: {run.system.dir}")
     if not ok:
--- a/tests/soak_judge.py
+++ b/tests/soak_judge.py
@@ -1,145 +1,154 @@
-"""What callers and replicas of a soak saw, held against the promises.
+"""Checks what callers and replicas observe in a soak against the guarantees of
+fg-gateway.
 
-Every request has an id of its own. The judge hears when a replica begins to
-run it and what its caller was told, in any order, and notes each violation at
-once. Times are of time.monotonic().
+Every request has a unique id. The checker is told when a replica begins to run
+a request and what the caller was answered, in any order, and records each
+violation at once. Times are those of time.monotonic().
 """
 
 import threading
 import time
 
 NOT_RUN = (408, 421, 429, 503)
-DENIED = (400, 401, 403, 404, 413, 431)
-# Slack of a final answer behind the route's time limit.
-LATE_S = 0.5
-# A disturbance excuses what comes this long after it.
-CONTACT_S = 4.0
+REJECTED = (400, 401, 403, 404, 413, 431)
+# A final answer may come this long after the time limit of its route.
+LIMIT_SLACK_S = 0.5
+# Violations that a fault may cause are ignored for this long after the fault.
+AFTER_FAULT_S = 4.0
 
 
 class Call:
-    def __init__(self, rid, kind, gateway, life, limit_s, runs_max, version):
+    def __init__(self, rid, kind, gateway, incarnation, limit_s, runs_max,
+                 version):
         self.rid = rid
-        self.kind = kind  # draft, brief, order, lookup, or a route's name
+        self.kind = kind  # draft, brief, order, lookup, or the name of a route
         self.gateway = gateway
-        self.life = life  # process of the gateway, counted
+        self.incarnation = incarnation  # number of starts of the gateway
         self.limit_s = limit_s
         self.runs_max = runs_max
-        self.version = version  # of the configuration that added its route
-        self.sent = time.monotonic()
-        self.ran = []  # (replica, time)
+        self.version = version  # of the configuration that added the route
+        self.sent_at = time.monotonic()
+        self.runs = []  # (replica, time)
         self.status = None
 
 
-class Judge:
+class Checker:
     def __init__(self):
         self.lock = threading.Lock()
         self.calls = {}
-        self.disturbed = {}  # name of a gateway or "store" -> [(from, to)]
-        self.leaving = {}  # replica -> (time, drain bound in s)
-        self.seen_version = {}  # (gateway, life) -> newest seen in force
-        self.planned = set()  # (gateway, life) under a planned stop alone
-        self.faulty = {}  # replica -> last time of a fault of its own
+        self.faults = {}  # gateway or "store" -> [[from, to or None]]
+        self.leaving = {}  # replica -> (time, drain limit in s)
+        # (gateway, incarnation) -> newest configuration version seen in force
+        self.newest_version = {}
+        self.planned_stops = set()  # (gateway, incarnation) told to stop
+        self.last_fault = {}  # replica -> end of its last own fault
         self.violations = []
         self.counts = {}
 
-    def blame(self, rule, text):
+    def add_violation(self, rule, text):
         self.violations.append(f"{rule}: {text}")
 
-    # Disturbances.
+    # Faults.
 
-    def begin(self, name):
+    def begin_fault(self, name):
         with self.lock:
-            self.disturbed.setdefault(name, []).append(
+            self.faults.setdefault(name, []).append(
                 [time.monotonic(), None])
 
-    def finish(self, name):
+    def end_fault(self, name):
         with self.lock:
-            for span in self.disturbed.get(name, []):
-                if span[1] is None:
-                    span[1] = time.monotonic()
+            for period in self.faults.get(name, []):
+                if period[1] is None:
+                    period[1] = time.monotonic()
 
-    def calm(self, names, since):
-        """No disturbance of these since CONTACT_S before a moment."""
+    def is_undisturbed(self, names, since):
+        """True when none of these had a fault since AFTER_FAULT_S before
+        `since`."""
         for name in names:
-            for span in self.disturbed.get(name, []):
-                if span[1] is None or span[1] > since - CONTACT_S:
+            for period in self.faults.get(name, []):
+                if period[1] is None or period[1] > since - AFTER_FAULT_S:
                     return False
         return True
 
-    # What happens.
+    # Events.
 
-    def sent(self, call):
+    def on_sent(self, call):
         with self.lock:
             self.calls[call.rid] = call
 
-    def ran(self, replica, rid):
+    def on_run(self, replica, rid):
         now = time.monotonic()
         with self.lock:
             call = self.calls.get(rid)
             if call is None:
-                self.blame("UNASKED", f"{rid} ran at {replica.name}")
+                self.add_violation("UNASKED", f"{rid} ran at {replica.name}")
                 return
-            call.ran.append((replica.name, now))
-            if len({name for name, _ in call.ran}) > call.runs_max or (
-                    call.runs_max == 1 and len(call.ran) > 1):
-                self.blame("TWICE", f"{call.kind} {rid} ran {call.ran}")
+            call.runs.append((replica.name, now))
+            if len({name for name, _ in call.runs}) > call.runs_max or (
+                    call.runs_max == 1 and len(call.runs) > 1):
+                self.add_violation("TWICE",
+                                   f"{call.kind} {rid} ran {call.runs}")
             if call.status in NOT_RUN:
-                self.blame("REFUSED", f"{call.kind} {rid} ran at "
-                           f"{replica.name} after {call.status}")
+                self.add_violation("REFUSED", f"{call.kind} {rid} ran at "
+                                   f"{replica.name} after {call.status}")
             self._check_leaving(call, replica, now)
 
     def _check_leaving(self, call, replica, now):
         since = self.leaving.get(replica.name)
         if since is None or now < since[0] + since[1]:
             return
-        if self.calm([call.gateway, "store"], min(now, since[0])):
-            self.blame("DRAIN", f"{call.rid} reached {replica.name} "
-                       f"{now - since[0]:.2f} s after it began to leave, "
-                       f"by {call.gateway}")
-
-    def answered(self, call, status, whole, right):
-        """status 0: the connection ended without an answer."""
+        if self.is_undisturbed([call.gateway, "store"], min(now, since[0])):
+            self.add_violation("DRAIN", f"{call.rid} reached {replica.name} "
+                               f"{now - since[0]:.2f} s after it began to "
+                               f"leave, by {call.gateway}")
+
+    def on_answered(self, call, status, whole, is_expected):
+        """A status of 0 means that the connection ended without an answer;
+        whole means that the body was complete."""
         now = time.monotonic()
-        took = now - call.sent
+        took_s = now - call.sent_at
         with self.lock:
             call.status = status
             word = f"{call.kind} {status}" if whole else f"{call.kind} broken"
             self.counts[word] = self.counts.get(word, 0) + 1
             where = f"{call.kind} {call.rid} by {call.gateway}"
-            if status in NOT_RUN and call.ran:
-                self.blame("REFUSED", f"{where}: {status}, ran {call.ran}")
-            if status == 200 and whole and not right:
-                self.blame("MIXED", f"{where}: not the whole answer")
-            if status in DENIED:
+            if status in NOT_RUN and call.runs:
+                self.add_violation("REFUSED",
+                                   f"{where}: {status}, ran {call.runs}")
+            if status == 200 and whole and not is_expected:
+                self.add_violation("MIXED", f"{where}: not the whole answer")
+            if status in REJECTED:
                 self._check_denied(call, where, status)
             elif status == 200:
-                key = (call.gateway, call.life)
-                self.seen_version[key] = max(call.version,
-                                             self.seen_version.get(key, 0))
-            if took > call.limit_s + LATE_S and self.calm(
-                    [call.gateway], call.sent):
-                self.blame("LATE", f"{where}: {took:.2f} s")
+                key = (call.gateway, call.incarnation)
+                self.newest_version[key] = max(
+                    call.version, self.newest_version.get(key, 0))
+            if took_s > call.limit_s + LIMIT_SLACK_S and self.is_undisturbed(
+                    [call.gateway], call.sent_at):
+                self.add_violation("LATE", f"{where}: {took_s:.2f} s")
             if not whole or status == 0:
                 self._check_lost(call, where)
 
     def _check_denied(self, call, where, status):
         if status != 404:
-            self.blame("DENIED", f"{where}: {status}")
-        elif call.version <= self.seen_version.get(
-                (call.gateway, call.life), 0):
-            self.blame("CONFIG", f"{where}: 404 after version "
-                       f"{call.version} was in force")
+            self.add_violation("DENIED", f"{where}: {status}")
+        elif call.version <= self.newest_version.get(
+                (call.gateway, call.incarnation), 0):
+            self.add_violation("CONFIG", f"{where}: 404 after version "
+                               f"{call.version} was in force")
         elif call.version == 0:
-            self.blame("DENIED", f"{where}: 404")
+            self.add_violation("DENIED", f"{where}: 404")
 
     def _check_lost(self, call, where):
-        """A planned stop cuts off nothing that was passed on."""
-        if not call.ran or (call.gateway, call.life) not in self.planned:
+        """A planned stop must not cut off a request that runs at a replica."""
+        if not call.runs or (call.gateway,
+                             call.incarnation) not in self.planned_stops:
             return
-        if not self.calm([call.gateway], call.sent):
+        if not self.is_undisturbed([call.gateway], call.sent_at):
             return
-        if any(t > call.sent - CONTACT_S for n, t in self.faulty.items()
-               if n in {name for name, _ in call.ran}):
+        if any(t > call.sent_at - AFTER_FAULT_S
+               for n, t in self.last_fault.items()
+               if n in {name for name, _ in call.runs}):
             return
-        self.blame("LOST", f"{where}: cut off by a planned stop, "
-                   f"ran {call.ran}")
+        self.add_violation("LOST", f"{where}: cut off by a planned stop, "
+                           f"ran {call.runs}")
--- a/tests/soak_proxy.py
+++ b/tests/soak_proxy.py
@@ -1,9 +1,10 @@
-"""A loopback TCP proxy that spoils connections, for tests/soak.py.
+"""A loopback TCP proxy with injected network faults.
 
-One thread runs all proxies. Each part of data waits delay_s; with refuse new
-connections are reset. reset() ends all connections at once; silence() makes the
-open ones pass nothing more, in both or one direction, without telling either
-side. tests/hosted.py puts proxies before the store for scenarios, too.
+One thread runs all proxies. Each block of data is delayed by delay_s; with
+refuse, new connections are reset. reset() resets all connections; silence()
+drops the data of open connections in one or both directions, without closing
+them. tests/soak.py uses proxies on all paths, tests/hosted.py on the path to
+the store.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 
 
 class _Loop:
-    """The event loop's thread, started with the first proxy."""
+    """Event loop in a thread, started with the first proxy."""
 
     loop = None
 
@@ -29,7 +30,7 @@
 
 
 def _abort(writer):
-    """Closes so that the peer sees a reset."""
+    """Closes the connection with a reset."""
     sock = writer.get_extra_info("socket")
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
@@ -39,15 +40,15 @@
     writer.transport.abort()
 
 
-class _Pair:
-    def __init__(self, near, far):
-        self.near = near  # writer to the side that connected
-        self.far = far
+class _Connection:
+    def __init__(self, inbound, outbound):
+        self.inbound = inbound  # writer to the side that opened the connection
+        self.outbound = outbound
         self.silent = set()
 
     def abort(self):
-        _abort(self.near)
-        _abort(self.far)
+        _abort(self.inbound)
+        _abort(self.outbound)
 
 
 class Proxy:
@@ -55,13 +56,13 @@
         self.target = target
         self.delay_s = 0.0
         self.refuse = False
-        self.hold = set()  # directions that new connections do not pass
-        self.pairs = set()
+        self.silence_new = set()  # directions silent in new connections
+        self.connections = set()
         self.addr = None
         self._run(self._listen())
 
-    def _run(self, coro):
-        future = asyncio.run_coroutine_threadsafe(coro, _Loop.get())
+    def _run(self, coroutine):
+        future = asyncio.run_coroutine_threadsafe(coroutine, _Loop.get())
         return future.result(5)
 
     async def _listen(self):
@@ -74,26 +75,28 @@
             _abort(writer)
             return
         try:
-            far_reader, far = await asyncio.open_connection(host, int(port))
+            outbound_reader, outbound = await asyncio.open_connection(
+                host, int(port))
         except OSError:
             _abort(writer)
             return
-        pair = _Pair(writer, far)
-        pair.silent |= self.hold
-        self.pairs.add(pair)
-        await asyncio.gather(self._pump(pair, reader, far, UP),
-                             self._pump(pair, far_reader, writer, DOWN))
-        self.pairs.discard(pair)
-        pair.near.close()
-        pair.far.close()
-
-    async def _pump(self, pair, reader, writer, direction):
+        conn = _Connection(writer, outbound)
+        conn.silent |= self.silence_new
+        self.connections.add(conn)
+        await asyncio.gather(
+            self._forward(conn, reader, outbound, UP),
+            self._forward(conn, outbound_reader, writer, DOWN))
+        self.connections.discard(conn)
+        conn.inbound.close()
+        conn.outbound.close()
+
+    async def _forward(self, conn, reader, writer, direction):
         try:
             while True:
                 data = await reader.read(65536)
                 if self.delay_s > 0:
                     await asyncio.sleep(self.delay_s)
-                if direction in pair.silent:
+                if direction in conn.silent:
                     if not data:
                         break
                     continue
@@ -104,22 +107,23 @@
                 writer.write(data)
                 await writer.drain()
         except (OSError, RuntimeError):
-            pair.abort()
+            conn.abort()
 
     def reset(self):
-        async def all_pairs():
-            for pair in list(self.pairs):
-                pair.abort()
-        self._run(all_pairs())
-
-    def silence(self, directions=(UP, DOWN), new_too=True):
-        """Open connections stay silent for good; new ones until heal()."""
-        for pair in list(self.pairs):
-            pair.silent |= set(directions)
-        if new_too:
-            self.hold = set(directions)
+        async def abort_all():
+            for conn in list(self.connections):
+                conn.abort()
+        self._run(abort_all())
+
+    def silence(self, directions=(UP, DOWN), include_new=True):
+        """Drops all further data of the open connections; with include_new
+        also of those opened before heal(). heal() does not restore them."""
+        for conn in list(self.connections):
+            conn.silent |= set(directions)
+        if include_new:
+            self.silence_new = set(directions)
 
     def heal(self):
         self.delay_s = 0.0
         self.refuse = False
-        self.hold = set()
+        self.silence_new = set()
--- a/tests/xxh64.py
+++ b/tests/xxh64.py
@@ -1,4 +1,4 @@
-"""XXH64 with seed 0, as fg_hash_str() uses it."""
+"""XXH64 with seed 0, the hash that fg_hash_str() computes."""
 
 P1 = 0x9E3779B185EBCA87
 P2 = 0xC2B2AE3D27D4EB4F
@@ -17,7 +17,7 @@
 
 
 def digest_stripes(data):
-    """Returns (hash, offset) after all whole 32-byte stripes."""
+    """Returns (hash, offset) after all complete 32-byte stripes."""
     acc = [(P1 + P2) & MASK, P2, 0, -P1 & MASK]
     pos = 0
     while pos + 32 <= len(data):
@@ -50,10 +50,10 @@
 
 
 def hash_str(text):
-    """fg_hash_str()."""
+    """Returns the same value as fg_hash_str()."""
     return xxh64(text.encode()) or 1
 
 
 def hash8(text):
-    """The low 32 bits of fg_hash_str() in hex."""
+    """Returns the low 32 bits of fg_hash_str() in hexadecimal."""
     return f"{hash_str(text) & 0xffffffff:08x}"
