--- a/Makefile
+++ b/Makefile
@@ -19,7 +19,8 @@
 LIB_OBJ  := $(LIB_SRC:%.c=$(BUILD)/%.o)
 LIB      := $(BUILD)/libfulmargauge.a
 
-# programs/NAME.c or programs/NAME/*.c make build/bin/NAME; standin/ likewise.
+# programs/NAME.c or programs/NAME/*.c is built into $(BUILD)/bin/NAME, and
+# standin/NAME/*.c with standin/common into $(BUILD)/bin/standin-NAME.
 PROG_SRC := $(wildcard programs/*.c programs/*/*.c)
 SI_LIB   := $(patsubst %.c,$(BUILD)/%.o,$(wildcard standin/common/*.c))
 SI_SRC   := $(filter-out standin/common/%,$(wildcard standin/*/*.c))
@@ -44,14 +45,14 @@
 help:
 	@echo "make            build the programs and stand-ins into $(BUILD)/bin"
 	@echo "make deps       install the Debian packages the build needs"
-	@echo "make demo       install, build and run the whole system on loopback"
+	@echo "make demo       install, build and run a whole system on loopback"
 	@echo "make check      install, build and run every test"
-	@echo "make lint       formatter and linters"
-	@echo "make bench      policies against the baselines"
-	@echo "make slopes     state, CPU and bytes per unit (PART=roles: the roles alone)"
-	@echo "make check-asan make check-tsan   tests under the sanitizers"
-	@echo "make fuzz       a short fixed run of each fuzzer"
-	@echo "make format     rewrite the sources in the house format"
+	@echo "make lint       check the format and run the linters"
+	@echo "make bench      compare the policies with the baselines"
+	@echo "make slopes     measure state, CPU and bytes per unit (PART=roles: only the roles)"
+	@echo "make check-asan make check-tsan   run the tests under the sanitizers"
+	@echo "make fuzz       run each fuzzer for a fixed number of inputs"
+	@echo "make format     format the sources with clang-format"
 
 .PHONY: deps
 deps:
@@ -67,7 +68,7 @@
 	@echo "  CC      $<"
 	@$(CC) $(CPPFLAGS) $(CFLAGS) -MMD -MP -c -o $@ $<
 
-# Generated code is compiled without the house warnings.
+# rpcgen output causes these warnings.
 $(BUILD)/lib/peer/fg_proto_xdr.o $(BUILD)/lib/mesh/fg_mesh_proto_xdr.o: CFLAGS += -Wno-unused-variable -Wno-cast-function-type
 
 define prog_rule
@@ -89,7 +90,7 @@
 	@echo "  LD      $@"
 	@$(CC) $(LDFLAGS) -o $@ $^ $(LDLIBS)
 
-# rpcgen output is committed; run this only after editing a .x file.
+# rpcgen output is committed; needed only after a change of a .x file.
 .PHONY: proto
 proto:
 	cd lib/peer && rm -f fg_proto.h fg_proto_xdr.c && \
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Runs the whole system on loopback, sends requests as callers do, and compares
-# what the callers were told with what the endpoints did.
-# Environment: BUILD, FG_PORT_BASE (20000; 40 ports from it are used).
+# Runs a whole system on loopback, sends requests to it, and checks the answers
+# against the execution logs of the endpoints.
+# Environment: BUILD (build), FG_PORT_BASE (20000; 40 ports from there are used).
 set -eu
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -9,8 +9,8 @@
 bin=$BUILD/bin
 dir=$(mktemp -d)
 pids=
-READY_TRIES=150 # each 200 ms
-STOP_TRIES=50	# each 200 ms
+READY_TRIES=150 # every 200 ms
+STOP_TRIES=50	# every 200 ms
 
 say() {
 	echo "demo: $*"
@@ -59,7 +59,7 @@
 	echo "127.0.0.1:$((base + $1))"
 }
 
-# run NAME PROGRAM ARGS...
+# run NAME PROGRAM ARGS...: starts a process in the background.
 run() {
 	name=$1
 	shift
@@ -67,12 +67,12 @@
 	pids="$pids $!"
 }
 
-# ask METHOD ADDRESS PATH [JSON]
+# ask METHOD ADDRESS PATH [JSON]: sends a request and prints the answer.
 ask() {
 	python3 tests/fghttp.py "$@"
 }
 
-# endpoint PROGRAM NAME PORT SERVICE DC OPTIONS...
+# endpoint PROGRAM NAME PORT SERVICE DC OPTIONS...: PORT is relative to the base.
 endpoint() {
 	program=$1 name=$2 port=$3 service=$4 dc=$5
 	shift 5
@@ -82,7 +82,7 @@
 		--platform "$(addr 0)" --history "$dir/$name.hist" "$@"
 }
 
-# entry NAME PORT DC
+# entry NAME PORT DC: PORT is relative to the base.
 entry() {
 	cat >"$dir/$1.yaml" <<-YAML
 		name: $1
@@ -96,7 +96,7 @@
 	run "$1" "$bin/fg-entry" --config "$dir/$1.yaml"
 }
 
-# wait_for WHAT COMMAND...: until the command succeeds.
+# wait_for WHAT COMMAND...: waits until the command succeeds.
 wait_for() {
 	what=$1
 	shift
@@ -104,7 +104,7 @@
 	until "$@" >/dev/null 2>&1; do
 		tries=$((tries + 1))
 		if [ "$tries" -ge "$READY_TRIES" ]; then
-			say "waited in vain for $what"
+			say "timed out waiting for $what"
 			exit 1
 		fi
 		sleep 0.2
@@ -116,15 +116,16 @@
 		-ge 9 ]
 }
 
-# change TEXT: an operator's change, until it is accepted.
+# change TEXT: sends a change; succeeds when it was accepted.
 change() {
 	ask POST "$(addr 30)" /v1/admin/change \
 		"{\"change\":$1,\"wait_ms\":5000}" >"$dir/answer"
 	grep -q '"status": *"accepted"' "$dir/answer"
 }
 
-# The changes that create 24 adapters, one JSON text. Every third adapter has
-# a second version.
+# catalogue: prints the changes that create 24 adapters as one JSON text. Every
+# third adapter has a second version. Writes the newest version of each adapter
+# to newest and the adapters to request to adapters.
 catalogue() {
 	printf '{"kind":"batch","changes":['
 	printf '{"kind":"service_put","service":"menus","plain":false,"checks_fence":true,"loads_per_s":5,"loads_in_flight":8,"load_ms":250},'
@@ -148,7 +149,7 @@
 			newest=v2
 		fi
 		echo "$adapter $newest" >>"$dir/newest"
-		# Every other adapter is asked for by its version.
+		# Every other adapter is requested with a version.
 		if [ $((i % 2)) -eq 0 ]; then
 			echo "$adapter v1" >>"$dir/adapters"
 		else
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Builds each fuzzer of tests/fuzz and runs it a fixed number of times from a
-# fixed seed, starting from tests/fuzz/seeds/NAME if that is there.
+# Builds each fuzzer of tests/fuzz and runs it with a fixed number of inputs and
+# a fixed seed. The initial corpus is tests/fuzz/seeds/NAME, if it exists.
 # Usage: scripts/fuzz.sh [RUNS [SEED]]
 set -eu
 cd "$(dirname "$0")/.."
--- a/scripts/install-deps.sh
+++ b/scripts/install-deps.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs the Debian packages that the build, the checks and the demo need.
-# Does nothing when all of them are there.
+# Installs the Debian packages that the build, the checks and the demo need;
+# does nothing when all are installed.
 set -eu
 
 PACKAGES="gcc make pkg-config clang clang-format clang-tidy cppcheck python3
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,10 +1,12 @@
 #!/bin/sh
-# Runs the tests and closes with "N passed, N failed".
+# Runs the tests; the last line is "N passed, N failed".
 # Usage: tests/run.sh [all|unit|sanitized]
-#   all        unit tests, scripted scenarios, seeded runs under faults
-#   unit       unit tests alone
+#   all        unit tests, scenarios, gateway scenarios, soak, invalid input,
+#              seeded runs
+#   unit       unit tests only
 #   sanitized  unit tests and one scenario, for the sanitizer builds
-# Entries of KNOWN-RED.txt are run and printed but do not fail the run.
+# Tests listed in KNOWN-RED.txt run as well; their failures are printed, but do
+# not fail the run.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -33,7 +35,7 @@
 	fi
 }
 
-# run_tap PROGRAM: runs a GLib test program and counts its TAP lines.
+# run_tap PROGRAM: runs a GLib test program and counts its TAP results.
 run_tap() {
 	name=$(basename "$1")
 	"$1" --tap >"$log" 2>&1
@@ -63,14 +65,14 @@
 		tests/scenario.py "$script" >"$log" 2>&1
 		status=$?
 		if [ $status -ne 0 ]; then
-			head -n 20 "$log" # what differed
+			head -n 20 "$log" # the diff
 			tail -n 30 "$log"
 		fi
 		record "$(basename "$script" .fgs)" $status
 	done
 fi
 
-# run_seeded DEPLOYMENT SEED: a concurrent run under faults from the seed.
+# run_seeded DEPLOYMENT SEED: a run under random faults.
 run_seeded() {
 	tests/seeded.py --deployment "$1" --seed "$2" --seconds 15 \
 		>"$log" 2>&1
@@ -79,7 +81,7 @@
 	record "seeded-$1-$2" $status
 }
 
-# run_lines PROGRAM: counts its "ok NAME" and "not ok NAME" lines.
+# run_lines PROGRAM: runs it and counts its "ok NAME" and "not ok NAME" lines.
 run_lines() {
 	name=$(basename "$1" .py)
 	"$1" >"$log" 2>&1
@@ -98,7 +100,7 @@
 	fi
 }
 
-# run_soak NAME OPTIONS...: real processes under faults from outside.
+# run_soak NAME OPTIONS...: real processes under external faults.
 run_soak() {
 	name=$1
 	shift
