--- a/lib/gateway/fg_gateway.c
+++ b/lib/gateway/fg_gateway.c
@@ -89,9 +89,9 @@
 	uint32_t instances = fg_peers_count_alive(gw->peers, now) + 1;
 
 	if (tokens > 0)
-		fg_heat_add(gw->popularity, now, popularity_key(adapter),
-			    tokens);
-	return fg_heat_get(gw->popularity, now, popularity_key(adapter)) *
+		fg_popularity_add(gw->popularity, now, popularity_key(adapter),
+				  tokens);
+	return fg_popularity_get(gw->popularity, now, popularity_key(adapter)) *
 	       M_LN2 * FG_MS_PER_S / POPULARITY_HALF_LIFE_MS * instances;
 }
 
@@ -363,7 +363,7 @@
 	gw->fleet = fg_fleet_new(dc_region, on_endpoint_dropped, gw);
 	gw->claims = fg_claims_new(gw->incarnation);
 	gw->peers = fg_peers_new(&self);
-	gw->popularity = fg_heat_new(POPULARITY_HALF_LIFE_MS);
+	gw->popularity = fg_popularity_new(POPULARITY_HALF_LIFE_MS);
 	gw->suspects = fg_suspects_new(&suspects_conf);
 	gw->retry_budgets = g_hash_table_new_full(
 		g_str_hash, g_str_equal, g_free, (GDestroyNotify)fg_retry_free);
@@ -458,7 +458,7 @@
 	uv_run(&gw->loop, UV_RUN_NOWAIT); /* ends closed connections */
 	fg_claims_free(gw->claims);
 	fg_peers_free(gw->peers);
-	fg_heat_free(gw->popularity);
+	fg_popularity_free(gw->popularity);
 	fg_suspects_free(gw->suspects);
 	fg_routes_unref(gw->routes);
 	g_hash_table_unref(gw->announced_versions);
--- a/lib/gateway/fg_gateway_internal.h
+++ b/lib/gateway/fg_gateway_internal.h
@@ -40,7 +40,7 @@
 #include "mesh/fg_mesh.h"
 #include "mesh/fg_peers.h"
 #include "metrics/fg_metrics.h"
-#include "place/fg_heat.h"
+#include "place/fg_popularity.h"
 #include "relay/fg_relay.h"
 #include "route/fg_route.h"
 #include "slots/fg_loadgate.h"
@@ -537,7 +537,8 @@
 	struct fg_loadgate loadgate;
 	struct fg_claims *claims;
 	struct fg_peers *peers;
-	struct fg_heat_table *popularity; /* of adapters, in prompt tokens */
+	/* Of adapters, in prompt tokens. */
+	struct fg_popularity_table *popularity;
 	struct fg_suspects *suspects;
 	GHashTable *retry_budgets; /* service name -> struct fg_retry * */
 
--- a/lib/node/fg_node.c
+++ b/lib/node/fg_node.c
@@ -13,7 +13,7 @@
 	conf->config_poll_ms = 2000;
 	conf->engine_poll_ms = 2000;
 	conf->resident_repeat_ms = 10000;
-	conf->heat_ms = 1000;
+	conf->popularity_ms = 1000;
 	conf->grant_repeat_ms = 400;
 	conf->need_repeat_ms = 1000;
 	conf->order_timeout_ms = 5000;
--- a/lib/node/fg_node.h
+++ b/lib/node/fg_node.h
@@ -53,9 +53,9 @@
 	uint32_t engine_poll_ms;     /* between reads of an owned engine's
 				      * state */
 	uint32_t resident_repeat_ms; /* between repeats of RESIDENT messages */
-	uint32_t heat_ms;	     /* between HEAT reports to the broker */
-	uint32_t grant_repeat_ms;    /* until an unanswered GRANT_REQ is sent
-				      * again */
+	uint32_t popularity_ms;	  /* between POPULARITY reports to the broker */
+	uint32_t grant_repeat_ms; /* until an unanswered GRANT_REQ is sent
+				   * again */
 	uint32_t need_repeat_ms;
 	uint32_t order_timeout_ms;
 	uint32_t address_ttl_ms;
--- a/lib/node/fg_node_broker.c
+++ b/lib/node/fg_node_broker.c
@@ -247,7 +247,7 @@
 	fg_broker_on_need(m->broker, n->now, from, need);
 }
 
-/* ---- Arrival counts, reported to the broker in HEAT messages ---- */
+/* ---- Arrival counts, reported to the broker in POPULARITY messages ---- */
 
 void fg_model_count_arrival(struct fg_node *n, const char *service, fg_av av)
 {
@@ -269,19 +269,21 @@
  * others. */
 static fg_msg *take_arrivals(struct fg_model *m)
 {
-	fg_msg *msg = fg_msg_new(FG_MSG_HEAT);
-	fg_heat *heat = &msg->body.fg_body_u.heat;
+	fg_msg *msg = fg_msg_new(FG_MSG_POPULARITY);
+	fg_popularity *popularity = &msg->body.fg_body_u.popularity;
 	GHashTableIter it;
 	gpointer key;
 	gpointer count;
 
-	heat->seq = ++m->heat_seq;
-	heat->items.items_val = calloc(FG_LIST_MAX, sizeof(fg_heat_item));
+	popularity->seq = ++m->popularity_seq;
+	popularity->items.items_val =
+		calloc(FG_LIST_MAX, sizeof(fg_popularity_item));
 	g_hash_table_iter_init(&it, m->arrivals);
-	while (heat->items.items_len < FG_LIST_MAX &&
+	while (popularity->items.items_len < FG_LIST_MAX &&
 	       g_hash_table_iter_next(&it, &key, &count)) {
-		fg_heat_item *item =
-			&heat->items.items_val[heat->items.items_len++];
+		fg_popularity_item *item =
+			&popularity->items
+				 .items_val[popularity->items.items_len++];
 
 		item->av.adapter = (u_int)(*(uint64_t *)key >> 32);
 		item->av.ver = (u_int) * (uint64_t *)key;
@@ -302,20 +304,20 @@
 	if (broker != 0)
 		fg_node_send(n, broker, msg);
 	else if (m->fallback != NULL)
-		fg_broker_on_heat(m->fallback, n->now,
-				  &msg->body.fg_body_u.heat);
+		fg_broker_on_popularity(m->fallback, n->now,
+					&msg->body.fg_body_u.popularity);
 	fg_msg_free(msg);
 }
 
-void fg_model_on_heat(struct fg_node *n, const fg_heat *heat)
+void fg_model_on_popularity(struct fg_node *n, const fg_popularity *popularity)
 {
 	struct fg_model *m;
 
-	if (heat->items.items_len == 0)
+	if (popularity->items.items_len == 0)
 		return;
-	m = find_model_by_av(n, heat->items.items_val[0].av);
+	m = find_model_by_av(n, popularity->items.items_val[0].av);
 	if (m != NULL && m->broker != NULL)
-		fg_broker_on_heat(m->broker, n->now, heat);
+		fg_broker_on_popularity(m->broker, n->now, popularity);
 }
 
 /* ---- PLACE orders ---- */
@@ -395,10 +397,11 @@
 	fg_broker_tick(broker, n->now, send_place, &e);
 }
 
-static void tick_model(struct fg_node *n, struct fg_model *m, bool heat_due)
+static void tick_model(struct fg_node *n, struct fg_model *m,
+		       bool popularity_due)
 {
 	update_region(n, m);
-	if (heat_due)
+	if (popularity_due)
 		send_arrivals(n, m);
 	tick_broker(n, m->broker);
 	if (m->fallback != NULL && find_broker(n, m) != 0)
@@ -408,13 +411,13 @@
 
 void fg_models_tick(struct fg_node *n)
 {
-	bool heat_due = n->now >= n->next_heat_at;
+	bool popularity_due = n->now >= n->next_popularity_at;
 	GHashTableIter it;
 	gpointer value;
 
-	if (heat_due)
-		n->next_heat_at = n->now + n->conf.heat_ms;
+	if (popularity_due)
+		n->next_popularity_at = n->now + n->conf.popularity_ms;
 	g_hash_table_iter_init(&it, n->models);
 	while (g_hash_table_iter_next(&it, NULL, &value))
-		tick_model(n, value, heat_due);
+		tick_model(n, value, popularity_due);
 }
--- a/lib/node/fg_node_internal.h
+++ b/lib/node/fg_node_internal.h
@@ -127,7 +127,7 @@
 	struct fg_broker *broker; /* NULL unless this instance is the broker */
 	struct fg_broker *fallback; /* used while no broker is known */
 	GHashTable *arrivals;	    /* av key -> count since the last report */
-	uint64_t heat_seq;
+	uint64_t popularity_seq;
 };
 
 /* Submodules that use the table. Each numbers its operations independently. */
@@ -177,7 +177,7 @@
 	fg_ms list_asked_at;
 	bool list_pending;
 	fg_ms list_read_at; /* when the last list received was asked for */
-	fg_ms next_heat_at;
+	fg_ms next_popularity_at;
 	fg_ms next_second_at; /* next once-a-second work */
 	fg_ms next_sweep_at;
 	uint64_t n_cleared; /* suspects cleared here; numbers the events */
@@ -353,10 +353,10 @@
 struct fg_model *fg_model_get(struct fg_node *n, const char *service);
 void fg_model_free(void *model);
 
-/* Sends HEAT reports and runs the brokers of this instance. */
+/* Sends POPULARITY reports and runs the brokers of this instance. */
 void fg_models_tick(struct fg_node *n);
 
-/* Counts a request for the adapter, for the next HEAT report. */
+/* Counts a request for the adapter, for the next POPULARITY report. */
 void fg_model_count_arrival(struct fg_node *n, const char *service, fg_av av);
 
 /* Passes a need of instance `from` to the broker, or to the fallback broker
@@ -366,7 +366,7 @@
 
 /* Messages of other instances to the broker, and replies of owners to it. */
 void fg_model_on_need(struct fg_node *n, uint64_t from, const fg_need *need);
-void fg_model_on_heat(struct fg_node *n, const fg_heat *heat);
+void fg_model_on_popularity(struct fg_node *n, const fg_popularity *popularity);
 void fg_model_on_place_rep(struct fg_node *n, const fg_place_rep *rep);
 
 /* This instance won or lost an ownership key. Both return false if the key
--- a/lib/node/fg_node_msg.c
+++ b/lib/node/fg_node_msg.c
@@ -73,8 +73,8 @@
 	case FG_MSG_GRANTS_TELL:
 		fg_owned_on_grants_tell(n, from, &b->fg_body_u.grants_tell);
 		break;
-	case FG_MSG_HEAT:
-		fg_model_on_heat(n, &b->fg_body_u.heat);
+	case FG_MSG_POPULARITY:
+		fg_model_on_popularity(n, &b->fg_body_u.popularity);
 		break;
 	case FG_MSG_CONFIG_ASK:
 	case FG_MSG_CONFIG_TELL:
--- a/lib/peer/fg_proto.h
+++ b/lib/peer/fg_proto.h
@@ -39,7 +39,7 @@
 	FG_MSG_RESIDENT = 9,
 	FG_MSG_GRANTS_ASK = 10,
 	FG_MSG_GRANTS_TELL = 11,
-	FG_MSG_HEAT = 12,
+	FG_MSG_POPULARITY = 12,
 	FG_MSG_CONFIG_ASK = 13,
 	FG_MSG_CONFIG_TELL = 14,
 	FG_MSG_SUSPECT = 15,
@@ -174,20 +174,20 @@
 };
 typedef struct fg_grants_tell fg_grants_tell;
 
-struct fg_heat_item {
+struct fg_popularity_item {
 	fg_av av;
 	u_int count;
 };
-typedef struct fg_heat_item fg_heat_item;
+typedef struct fg_popularity_item fg_popularity_item;
 
-struct fg_heat {
+struct fg_popularity {
 	u_quad_t seq;
 	struct {
 		u_int items_len;
-		fg_heat_item *items_val;
+		fg_popularity_item *items_val;
 	} items;
 };
-typedef struct fg_heat fg_heat;
+typedef struct fg_popularity fg_popularity;
 
 struct fg_config_ask {
 	u_quad_t from_revision;
@@ -237,7 +237,7 @@
 		fg_resident resident;
 		fg_grants_ask grants_ask;
 		fg_grants_tell grants_tell;
-		fg_heat heat;
+		fg_popularity popularity;
 		fg_config_ask config_ask;
 		fg_config_tell config_tell;
 		fg_suspect suspect;
@@ -297,8 +297,8 @@
 extern  bool_t xdr_fg_grant_info (XDR *, fg_grant_info*);
 extern  bool_t xdr_fg_grants_ask (XDR *, fg_grants_ask*);
 extern  bool_t xdr_fg_grants_tell (XDR *, fg_grants_tell*);
-extern  bool_t xdr_fg_heat_item (XDR *, fg_heat_item*);
-extern  bool_t xdr_fg_heat (XDR *, fg_heat*);
+extern  bool_t xdr_fg_popularity_item (XDR *, fg_popularity_item*);
+extern  bool_t xdr_fg_popularity (XDR *, fg_popularity*);
 extern  bool_t xdr_fg_config_ask (XDR *, fg_config_ask*);
 extern  bool_t xdr_fg_config_tell (XDR *, fg_config_tell*);
 extern  bool_t xdr_fg_suspect (XDR *, fg_suspect*);
@@ -324,8 +324,8 @@
 extern bool_t xdr_fg_grant_info ();
 extern bool_t xdr_fg_grants_ask ();
 extern bool_t xdr_fg_grants_tell ();
-extern bool_t xdr_fg_heat_item ();
-extern bool_t xdr_fg_heat ();
+extern bool_t xdr_fg_popularity_item ();
+extern bool_t xdr_fg_popularity ();
 extern bool_t xdr_fg_config_ask ();
 extern bool_t xdr_fg_config_tell ();
 extern bool_t xdr_fg_suspect ();
--- a/lib/peer/fg_proto.x
+++ b/lib/peer/fg_proto.x
@@ -30,7 +30,7 @@
 	FG_MSG_RESIDENT = 9,
 	FG_MSG_GRANTS_ASK = 10,
 	FG_MSG_GRANTS_TELL = 11,
-	FG_MSG_HEAT = 12,
+	FG_MSG_POPULARITY = 12,
 	FG_MSG_CONFIG_ASK = 13,
 	FG_MSG_CONFIG_TELL = 14,
 	FG_MSG_SUSPECT = 15,
@@ -157,14 +157,14 @@
 };
 
 /* Requests that arrived per adapter since the last report, for the broker. */
-struct fg_heat_item {
+struct fg_popularity_item {
 	fg_av av;
 	unsigned int count;
 };
 
-struct fg_heat {
+struct fg_popularity {
 	unsigned hyper seq;
-	fg_heat_item items<FG_LIST_MAX>;
+	fg_popularity_item items<FG_LIST_MAX>;
 };
 
 struct fg_config_ask {
@@ -221,8 +221,8 @@
 	fg_grants_ask grants_ask;
 case FG_MSG_GRANTS_TELL:
 	fg_grants_tell grants_tell;
-case FG_MSG_HEAT:
-	fg_heat heat;
+case FG_MSG_POPULARITY:
+	fg_popularity popularity;
 case FG_MSG_CONFIG_ASK:
 	fg_config_ask config_ask;
 case FG_MSG_CONFIG_TELL:
--- a/lib/peer/fg_proto_xdr.c
+++ b/lib/peer/fg_proto_xdr.c
@@ -413,7 +413,7 @@
 }
 
 bool_t
-xdr_fg_heat_item (XDR *xdrs, fg_heat_item *objp)
+xdr_fg_popularity_item (XDR *xdrs, fg_popularity_item *objp)
 {
 	register int32_t *buf;
 
@@ -425,14 +425,14 @@
 }
 
 bool_t
-xdr_fg_heat (XDR *xdrs, fg_heat *objp)
+xdr_fg_popularity (XDR *xdrs, fg_popularity *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->seq))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->items.items_val, (u_int *) &objp->items.items_len, FG_LIST_MAX,
-		sizeof (fg_heat_item), (xdrproc_t) xdr_fg_heat_item))
+		sizeof (fg_popularity_item), (xdrproc_t) xdr_fg_popularity_item))
 		 return FALSE;
 	return TRUE;
 }
@@ -557,8 +557,8 @@
 		 if (!xdr_fg_grants_tell (xdrs, &objp->fg_body_u.grants_tell))
 			 return FALSE;
 		break;
-	case FG_MSG_HEAT:
-		 if (!xdr_fg_heat (xdrs, &objp->fg_body_u.heat))
+	case FG_MSG_POPULARITY:
+		 if (!xdr_fg_popularity (xdrs, &objp->fg_body_u.popularity))
 			 return FALSE;
 		break;
 	case FG_MSG_CONFIG_ASK:
--- a/lib/place/fg_broker.c
+++ b/lib/place/fg_broker.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HEAT_HALF_LIFE_MS 300000
+#define POPULARITY_HALF_LIFE_MS 300000
 /* A loaded adapter is not evicted for this long, so that the requests that
  * waited for the load can use it. */
 #define NEW_ADAPTER_KEEP_MS 1000
@@ -32,7 +32,7 @@
 	b->policy = fg_policy_find(policy);
 	assert(b->policy != NULL);
 	fg_rand_seed(&b->rand, seed);
-	b->heat = fg_heat_new(HEAT_HALF_LIFE_MS);
+	b->popularity = fg_popularity_new(POPULARITY_HALF_LIFE_MS);
 	b->service = fg_hash_str(conf->service);
 	b->region = fg_hash_str(conf->region);
 	b->demands = g_hash_table_new(fg_key_hash, g_int64_equal);
@@ -67,7 +67,7 @@
 	g_hash_table_destroy(b->loads);
 	g_hash_table_destroy(b->victim_cooldowns);
 	g_hash_table_destroy(b->copy_cooldowns);
-	fg_heat_free(b->heat);
+	fg_popularity_free(b->popularity);
 	g_free(b);
 }
 
@@ -259,12 +259,14 @@
 	g_list_free(demands);
 }
 
-void fg_broker_on_heat(struct fg_broker *b, fg_ms now, const fg_heat *heat)
+void fg_broker_on_popularity(struct fg_broker *b, fg_ms now,
+			     const fg_popularity *popularity)
 {
-	for (u_int i = 0; i < heat->items.items_len; i++) {
-		const fg_heat_item *item = &heat->items.items_val[i];
+	for (u_int i = 0; i < popularity->items.items_len; i++) {
+		const fg_popularity_item *item =
+			&popularity->items.items_val[i];
 
-		fg_heat_add(b->heat, now, item->av, item->count);
+		fg_popularity_add(b->popularity, now, item->av, item->count);
 	}
 }
 
--- a/lib/place/fg_broker_tick.c
+++ b/lib/place/fg_broker_tick.c
@@ -177,18 +177,19 @@
 			       const struct fg_dir_ep *e)
 {
 	fg_av best = { 0, 0 };
-	double most_heat = 0;
+	double highest = 0;
 
 	for (uint32_t i = 0; i < e->n_av; i++) {
-		double heat = fg_heat_get(b->heat, now, e->av[i]);
+		double popularity =
+			fg_popularity_get(b->popularity, now, e->av[i]);
 
-		if (heat <= most_heat ||
+		if (popularity <= highest ||
 		    was_copied_recently(b, now, fg_av_key(e->av[i])) ||
 		    fg_broker_is_loading(b, e->av[i]) ||
 		    fg_broker_is_resident(b, e->av[i], false))
 			continue;
 		best = e->av[i];
-		most_heat = heat;
+		highest = popularity;
 	}
 	return best;
 }
--- a/lib/place/fg_place.h
+++ b/lib/place/fg_place.h
@@ -2,12 +2,12 @@
  * fg_place - placement: on which endpoints adapters are resident, and which
  * endpoint serves a request.
  *
- *   fg_dir     each instance's directory of resident adapters, updated by
- *              RESIDENT messages; picks the endpoint of a request.
- *   fg_heat    popularity of adapters (fg_heat.h).
- *   fg_broker  runs on one instance per region and base model; turns the
- *              routers' needs into load orders within the budget of the weight
- *              store.
+ *   fg_dir         each instance's directory of resident adapters, updated by
+ *                  RESIDENT messages; picks the endpoint of a request.
+ *   fg_popularity  popularity of adapters (fg_popularity.h).
+ *   fg_broker      runs on one instance per region and base model; turns the
+ *                  routers' needs into load orders within the budget of the
+ *                  weight store.
  *
  * A policy decides the order of loads, their endpoints and victims. "gauge" is
  * the default; "strong" and "naive" are baselines for `make bench`.
@@ -26,7 +26,7 @@
 #include "base/fg_rand.h"
 #include "config/fg_config.h"
 #include "peer/fg_msg.h"
-#include "place/fg_heat.h"
+#include "place/fg_popularity.h"
 
 /* ---- Directory ---- */
 
@@ -119,8 +119,9 @@
 void fg_broker_on_need(struct fg_broker *b, fg_ms now, uint64_t router,
 		       const fg_need *need);
 
-/* Adds the arrival counts of a HEAT message. */
-void fg_broker_on_heat(struct fg_broker *b, fg_ms now, const fg_heat *heat);
+/* Adds the arrival counts of a POPULARITY message. */
+void fg_broker_on_popularity(struct fg_broker *b, fg_ms now,
+			     const fg_popularity *popularity);
 
 /* Applies the reply to a load order; unknown orders are ignored. */
 void fg_broker_on_reply(struct fg_broker *b, fg_ms now,
--- a/lib/place/fg_place_priv.h
+++ b/lib/place/fg_place_priv.h
@@ -121,7 +121,7 @@
 	const struct fg_dir *dir;
 	const struct fg_policy *policy;
 	struct fg_rand rand;
-	struct fg_heat_table *heat;
+	struct fg_popularity_table *popularity;
 	uint64_t service;    /* hash of the name */
 	uint64_t region;     /* hash of the name */
 	GHashTable *demands; /* fg_av_key -> fg_demand, owns */
--- a/lib/place/fg_policy_gauge.c
+++ b/lib/place/fg_policy_gauge.c
@@ -52,7 +52,7 @@
 
 	return weight * (demand->terms.waiting +
 			 (double)(now - since) / WAIT_PER_REQUEST_MS) +
-	       fg_heat_get(b->heat, now, demand->av) / 100;
+	       fg_popularity_get(b->popularity, now, demand->av) / 100;
 }
 
 static struct fg_demand *next_by_priority(const struct fg_broker *b, fg_ms now,
@@ -109,11 +109,12 @@
 {
 	const struct fg_demand *pending = fg_broker_find_demand(b, av);
 	double copy_factor = copy_cost_factor(b, e, av);
-	double cost = fg_heat_get(b->heat, now, av) * copy_factor;
+	double cost = fg_popularity_get(b->popularity, now, av) * copy_factor;
 
 	if (pending != NULL)
 		cost += pending->terms.waiting;
-	if (copy_factor == 1 && now - fg_heat_last(b->heat, av) < RECENT_USE_MS)
+	if (copy_factor == 1 &&
+	    now - fg_popularity_last(b->popularity, av) < RECENT_USE_MS)
 		cost += RECENT_USE_COST;
 	return cost;
 }
--- a/tests/bench/place_router.c
+++ b/tests/bench/place_router.c
@@ -309,31 +309,32 @@
 	end_request(s, req, false);
 }
 
-void router_send_heat(struct sim *s, uint32_t router)
+void router_send_popularity(struct sim *s, uint32_t router)
 {
 	struct router *r = &s->routers[router];
-	fg_msg m = { .body = { .type = FG_MSG_HEAT } };
-	fg_heat *heat = &m.body.fg_body_u.heat;
-	fg_heat_item items[FG_LIST_MAX];
+	fg_msg m = { .body = { .type = FG_MSG_POPULARITY } };
+	fg_popularity *popularity = &m.body.fg_body_u.popularity;
+	fg_popularity_item items[FG_LIST_MAX];
 	GHashTableIter it;
 	gpointer value;
 
-	heat->items.items_val = items;
+	popularity->items.items_val = items;
 	g_hash_table_iter_init(&it, r->arrivals);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const uint64_t *count = value;
-		fg_heat_item *item = &items[heat->items.items_len++];
+		fg_popularity_item *item =
+			&items[popularity->items.items_len++];
 
 		item->av = (fg_av){ (u_int)(count[0] >> 32), (u_int)count[0] };
 		item->count = (u_int)count[1];
 		g_hash_table_iter_remove(&it);
-		if (heat->items.items_len == FG_LIST_MAX)
+		if (popularity->items.items_len == FG_LIST_MAX)
 			break;
 	}
-	if (heat->items.items_len == 0)
+	if (popularity->items.items_len == 0)
 		return;
 	sim_count_bytes(s, &m, router, BROKER);
-	fg_broker_on_heat(s->broker, s->now, heat);
+	fg_broker_on_popularity(s->broker, s->now, popularity);
 }
 
 static void queue_free(gpointer p)
--- a/tests/bench/place_sim.c
+++ b/tests/bench/place_sim.c
@@ -9,7 +9,7 @@
 
 #define TICK_MS 50
 #define POLL_MS 1000 /* interval at which owners read their engine's state */
-#define HEAT_MS 2000 /* interval of HEAT messages */
+#define POPULARITY_MS 2000 /* interval of POPULARITY messages */
 #define GRANT_MAX_MS 60000
 #define ORDER_TIMEOUT_MS 5000
 #define DRAIN_MS 300000 /* time after the last arrival for requests to end */
@@ -132,8 +132,8 @@
 			owner_serve_held(s, ep);
 	}
 	for (uint32_t r = 0; r < ROUTERS; r++)
-		if ((n + r * 5) % (HEAT_MS / TICK_MS) == 0)
-			router_send_heat(s, r);
+		if ((n + r * 5) % (POPULARITY_MS / TICK_MS) == 0)
+			router_send_popularity(s, r);
 	run_broker(s);
 	if (s->now < s->t->end + DRAIN_MS)
 		sim_push_event(s, (struct ev){ .at = s->now + TICK_MS,
--- a/tests/bench/place_sim.h
+++ b/tests/bench/place_sim.h
@@ -123,7 +123,7 @@
 struct router {
 	struct fg_dir *dir;
 	GHashTable *queues;   /* fg_av_key -> queue, owns */
-	GHashTable *arrivals; /* fg_av_key -> count since the last HEAT */
+	GHashTable *arrivals; /* fg_av_key -> count since the last POPULARITY */
 };
 
 struct sim {
@@ -175,7 +175,7 @@
 void router_on_resident(struct sim *s, const struct ev *ev);
 void router_on_refusal(struct sim *s, const struct ev *ev);
 void router_on_deadline(struct sim *s, uint32_t req);
-void router_send_heat(struct sim *s, uint32_t router);
+void router_send_popularity(struct sim *s, uint32_t router);
 void router_free(struct router *r);
 
 /* place_engine.c */
--- a/tests/bench/slopes_broker.c
+++ b/tests/bench/slopes_broker.c
@@ -73,10 +73,10 @@
 	uint32_t needs = 0;
 
 	for (uint32_t i = 0; i < ADAPTERS; i++) {
-		fg_heat_item item = { slopes_av(i), i % 100 };
-		fg_heat heat = { 1, { 1, &item } };
+		fg_popularity_item item = { slopes_av(i), i % 100 };
+		fg_popularity popularity = { 1, { 1, &item } };
 
-		fg_broker_on_heat(b, 0, &heat);
+		fg_broker_on_popularity(b, 0, &popularity);
 	}
 	for (; o.now < RUN_MS; o.now += TICK_MS) {
 		start = slopes_thread_cpu_us();
--- a/tests/bench/slopes_roles.c
+++ b/tests/bench/slopes_roles.c
@@ -77,7 +77,7 @@
 	fg_config_free(c);
 }
 
-/* ---- Router: directory and heat ---- */
+/* ---- Router: directory and popularity ---- */
 
 static void apply_resident(struct fg_dir *d, uint32_t ep, uint64_t seq,
 			   uint32_t shift)
@@ -126,20 +126,20 @@
 	fg_dir_free(d);
 }
 
-static void measure_heat(struct series *s, int idx, int n)
+static void measure_popularity(struct series *s, int idx, int n)
 {
 	double start, heap = slopes_heap_bytes();
-	struct fg_heat_table *h = fg_heat_new(300000);
+	struct fg_popularity_table *t = fg_popularity_new(300000);
 
 	for (uint32_t i = 1; i <= (uint32_t)n; i++)
-		fg_heat_add(h, 0, (fg_av){ i, 1 }, 1);
+		fg_popularity_add(t, 0, (fg_av){ i, 1 }, 1);
 	s[0].y[idx] = slopes_heap_bytes() - heap;
 	start = slopes_thread_cpu_us();
 	for (uint32_t i = 0; i < EVENTS; i++)
-		fg_heat_add(h, 1, (fg_av){ i * STRIDE % (uint32_t)n + 1, 1 },
-			    1);
+		fg_popularity_add(
+			t, 1, (fg_av){ i * STRIDE % (uint32_t)n + 1, 1 }, 1);
 	s[1].y[idx] = (slopes_thread_cpu_us() - start) / EVENTS;
-	fg_heat_free(h);
+	fg_popularity_free(t);
 }
 
 /* ---- Owner: grants ---- */
@@ -212,10 +212,10 @@
 
 	if (type == FG_MSG_RESIDENT)
 		fg_msg_set_avs(&m->body.fg_body_u.resident, av, n);
-	if (type == FG_MSG_HEAT) {
-		m->body.fg_body_u.heat.items.items_val =
-			calloc(n, sizeof(fg_heat_item));
-		m->body.fg_body_u.heat.items.items_len = n;
+	if (type == FG_MSG_POPULARITY) {
+		m->body.fg_body_u.popularity.items.items_val =
+			calloc(n, sizeof(fg_popularity_item));
+		m->body.fg_body_u.popularity.items.items_len = n;
 	}
 	printf("  %-38s %10zu B, %u items\n", fg_msg_type_name(type),
 	       fg_msg_wire_bytes(m), n);
@@ -249,7 +249,7 @@
 	{ "heat",
 	  "adapters",
 	  { 4000, 16000, 32000, 65000 },
-	  measure_heat,
+	  measure_popularity,
 	  { { "heap", "B", { 0 } }, { "one count", "us", { 0 } } } },
 	{ "grants, 5 engines",
 	  "in flight",
@@ -307,5 +307,5 @@
 	print_msg_bytes(FG_MSG_PLACE, 1);
 	print_msg_bytes(FG_MSG_PLACE_REP, 1);
 	print_msg_bytes(FG_MSG_RESIDENT, SLOTS);
-	print_msg_bytes(FG_MSG_HEAT, 20);
+	print_msg_bytes(FG_MSG_POPULARITY, 20);
 }
--- a/tests/unit/test_broker.c
+++ b/tests/unit/test_broker.c
@@ -79,13 +79,13 @@
 	fg_broker_on_reply(t->b, now, &rep);
 }
 
-static void send_heat(struct fixture *t, fg_ms now, uint32_t adapter,
-		      uint32_t count)
+static void send_popularity(struct fixture *t, fg_ms now, uint32_t adapter,
+			    uint32_t count)
 {
-	fg_heat_item item = { pfx_av(adapter), count };
-	fg_heat h = { 1, { 1, &item } };
+	fg_popularity_item item = { pfx_av(adapter), count };
+	fg_popularity popularity = { 1, { 1, &item } };
 
-	fg_broker_on_heat(t->b, now, &h);
+	fg_broker_on_popularity(t->b, now, &popularity);
 }
 
 static struct fg_broker_stats get_stats(const struct fixture *t)
@@ -177,7 +177,7 @@
 
 		for (uint32_t s = 0; s < SLOTS; s++) {
 			avs[s] = pfx_av(10 + (uint32_t)ep * SLOTS + s);
-			send_heat(t, 0, avs[s].adapter, 50);
+			send_popularity(t, 0, avs[s].adapter, 50);
 		}
 		pfx_report_resident(t->d, ep, 2, 0, avs, SLOTS);
 	}
@@ -189,9 +189,9 @@
 
 	setup(&t, "gauge");
 	fill_all_slots(&t);
-	send_heat(&t, 1000, 15, 0);
+	send_popularity(&t, 1000, 15, 0);
 	for (uint32_t i = 12; i < 20; i++)
-		send_heat(&t, 1000, i, i == 15 ? 0 : 50);
+		send_popularity(&t, 1000, i, i == 15 ? 0 : 50);
 	send_need(&t, 20000, 1, 1, 1, 10000);
 	run_tick(&t, 20000);
 	g_assert_cmpuint(t.last.victim.adapter, ==, 15);
@@ -214,7 +214,7 @@
 	avs[0] = pfx_av(1);
 	avs[1] = pfx_av(99);
 	pfx_report_resident(t.d, t.last.ep, 3, 0, avs, SLOTS);
-	send_heat(&t, 0, 99, 100);
+	send_popularity(&t, 0, 99, 100);
 	send_need(&t, 20400, 1, 2, 1, 10000);
 	run_tick(&t, 20400);
 	g_assert_cmpuint(t.last.av.adapter, ==, 2);
@@ -520,7 +520,7 @@
 	fg_av both[] = { pfx_av(1), pfx_av(2) };
 
 	setup(&t, "gauge");
-	send_heat(&t, 0, 1, 100);
+	send_popularity(&t, 0, 1, 100);
 	pfx_report_resident(t.d, 1, 2, 4, &one, 1);
 	run_tick(&t, 0);
 	g_assert_cmpuint(t.orders, ==, 0);
@@ -532,7 +532,7 @@
 	/* The next copy from this endpoint waits for the effect of the first.
 	 */
 	send_reply(&t, 1200, FG_PLACE_DONE);
-	send_heat(&t, 1200, 2, 50);
+	send_popularity(&t, 1200, 2, 50);
 	pfx_report_resident(t.d, 1, 4, 8, both, 2);
 	run_tick(&t, 3000);
 	g_assert_cmpuint(t.orders, ==, 1);
--- a/tests/unit/test_place.c
+++ b/tests/unit/test_place.c
@@ -2,26 +2,26 @@
  */
 #include "place_fixture.h"
 
-/* ---- Heat ---- */
+/* ---- Popularity ---- */
 
-static void test_heat_decay(void)
+static void test_popularity_decay(void)
 {
-	struct fg_heat_table *h = fg_heat_new(1000);
+	struct fg_popularity_table *t = fg_popularity_new(1000);
 
-	fg_heat_add(h, 0, pfx_av(1), 8);
-	g_assert_cmpfloat_with_epsilon(fg_heat_get(h, 1000, pfx_av(1)), 4,
+	fg_popularity_add(t, 0, pfx_av(1), 8);
+	g_assert_cmpfloat_with_epsilon(fg_popularity_get(t, 1000, pfx_av(1)), 4,
 				       1e-9);
-	fg_heat_add(h, 2000, pfx_av(1), 1);
-	g_assert_cmpfloat_with_epsilon(fg_heat_get(h, 2000, pfx_av(1)), 3,
+	fg_popularity_add(t, 2000, pfx_av(1), 1);
+	g_assert_cmpfloat_with_epsilon(fg_popularity_get(t, 2000, pfx_av(1)), 3,
 				       1e-9);
-	g_assert_cmpint(fg_heat_last(h, pfx_av(1)), ==, 2000);
-	g_assert_cmpfloat(fg_heat_get(h, 0, pfx_av(2)), ==, 0);
+	g_assert_cmpint(fg_popularity_last(t, pfx_av(1)), ==, 2000);
+	g_assert_cmpfloat(fg_popularity_get(t, 0, pfx_av(2)), ==, 0);
 	for (uint32_t i = 10; i < 1000; i++)
-		fg_heat_add(h, 2000, pfx_av(i), 1);
+		fg_popularity_add(t, 2000, pfx_av(i), 1);
 	for (fg_ms now = 3000; now < 20000; now += 1000)
-		fg_heat_add(h, now, pfx_av(1), 1);
-	g_assert_cmpuint(fg_heat_size(h), ==, 1);
-	fg_heat_free(h);
+		fg_popularity_add(t, now, pfx_av(1), 1);
+	g_assert_cmpuint(fg_popularity_size(t), ==, 1);
+	fg_popularity_free(t);
 }
 
 /* ---- Directory ---- */
@@ -124,7 +124,7 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/place/heat", test_heat_decay);
+	g_test_add_func("/place/heat", test_popularity_decay);
 	g_test_add_func("/place/dir_pick", test_dir_pick);
 	g_test_add_func("/place/dir_order", test_dir_ignores_old_seq);
 	g_test_add_func("/place/dir_prefix", test_dir_prefix);
