--- a/lib/grant/fg_grant.c
+++ b/lib/grant/fg_grant.c
@@ -17,7 +17,7 @@
 {
 	struct fg_grants *g = g_new0(struct fg_grants, 1);
 
-	assert(conf->slots >= 1 && conf->slots <= FG_SLOTS_MAX);
+	assert(conf->slots >= 1 && conf->slots <= FG_GRANT_SLOTS_MAX);
 	g->conf = *conf;
 	g->grants = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					  g_free);
@@ -71,7 +71,7 @@
 }
 
 int32_t fg_grants_find_slot(const struct fg_grants *g, fg_av av,
-			    enum fg_slot_state state)
+			    enum fg_grant_slot_state state)
 {
 	for (uint32_t i = 0; i < g->conf.slots; i++)
 		if (g->slot[i].state == state && fg_av_equal(g->slot[i].av, av))
@@ -116,7 +116,7 @@
  * holder that died together with the last owner cannot report its grants, so
  * only the engine's state shows that its requests have ended.
  */
-static bool is_unused(const struct fg_grants *g, const struct fg_slot *s)
+static bool is_unused(const struct fg_grants *g, const struct fg_grant_slot *s)
 {
 	if (g->conf.no_pins)
 		return true;
@@ -132,26 +132,26 @@
 bool fg_grants_is_being_replaced(const struct fg_grants *g, fg_av av)
 {
 	for (uint32_t i = 0; i < g->conf.slots; i++) {
-		const struct fg_slot *s = &g->slot[i];
+		const struct fg_grant_slot *s = &g->slot[i];
 
-		if ((s->state == FG_SLOT_LOADING ||
-		     s->state == FG_SLOT_TAINTED) &&
+		if ((s->state == FG_GRANT_SLOT_LOADING ||
+		     s->state == FG_GRANT_SLOT_TAINTED) &&
 		    fg_av_equal(s->victim, av))
 			return true;
 	}
 	return false;
 }
 
-static bool can_evict(const struct fg_grants *g, const struct fg_slot *s)
+static bool can_evict(const struct fg_grants *g, const struct fg_grant_slot *s)
 {
-	return s->state == FG_SLOT_READY && is_unused(g, s) &&
+	return s->state == FG_GRANT_SLOT_READY && is_unused(g, s) &&
 	       !has_held_request(g, s->av);
 }
 
 static int32_t pick_empty_slot(const struct fg_grants *g)
 {
 	for (uint32_t i = 0; i < g->conf.slots; i++)
-		if (g->slot[i].state == FG_SLOT_EMPTY &&
+		if (g->slot[i].state == FG_GRANT_SLOT_EMPTY &&
 		    g->slot[i].running == 0)
 			return (int32_t)i;
 	return -1;
@@ -164,7 +164,7 @@
 	double best_score = INFINITY;
 
 	for (uint32_t i = 0; i < g->conf.slots; i++) {
-		const struct fg_slot *s = &g->slot[i];
+		const struct fg_grant_slot *s = &g->slot[i];
 		double value;
 
 		if (!can_evict(g, s))
@@ -192,7 +192,7 @@
 		     double (*score)(void *arg, fg_av av), void *arg,
 		     uint32_t *slot, fg_av *victim)
 {
-	struct fg_slot *s;
+	struct fg_grant_slot *s;
 	int32_t i;
 
 	assert(!fg_av_is_none(av));
@@ -200,8 +200,8 @@
 		return FG_LOAD_START_LEAVING;
 	if (fg_grants_is_recovering(g, now))
 		return FG_LOAD_START_RECOVERING;
-	if (fg_grants_find_slot(g, av, FG_SLOT_READY) >= 0 ||
-	    fg_grants_find_slot(g, av, FG_SLOT_LOADING) >= 0)
+	if (fg_grants_find_slot(g, av, FG_GRANT_SLOT_READY) >= 0 ||
+	    fg_grants_find_slot(g, av, FG_GRANT_SLOT_LOADING) >= 0)
 		return FG_LOAD_START_PRESENT;
 	i = pick_empty_slot(g);
 	if (i < 0)
@@ -213,18 +213,18 @@
 	*slot = (uint32_t)i;
 	*victim = s->av;
 	s->victim = s->av;
-	if (s->state == FG_SLOT_READY)
+	if (s->state == FG_GRANT_SLOT_READY)
 		fg_grants_note_change(g);
-	s->state = FG_SLOT_LOADING;
+	s->state = FG_GRANT_SLOT_LOADING;
 	s->av = av;
 	s->since = now;
 	s->epoch_changed = false;
 	return FG_LOAD_START_OK;
 }
 
-static void taint_slot(struct fg_slot *s, fg_ms now, fg_ms until)
+static void taint_slot(struct fg_grant_slot *s, fg_ms now, fg_ms until)
 {
-	s->state = FG_SLOT_TAINTED;
+	s->state = FG_GRANT_SLOT_TAINTED;
 	s->incoming = s->av;
 	s->av = (fg_av){ 0, 0 };
 	s->expects_empty = false;
@@ -235,11 +235,11 @@
 void fg_grants_finish_load(struct fg_grants *g, fg_ms now, uint32_t slot,
 			   enum fg_order_status status, uint32_t life_ms)
 {
-	struct fg_slot *s;
+	struct fg_grant_slot *s;
 
 	assert(slot < g->conf.slots);
 	s = &g->slot[slot];
-	if (s->state != FG_SLOT_LOADING)
+	if (s->state != FG_GRANT_SLOT_LOADING)
 		return;
 	if (status == FG_ORDER_FENCED)
 		g->fenced = true;
@@ -255,7 +255,7 @@
 		taint_slot(s, now, now);
 		return;
 	}
-	s->state = FG_SLOT_READY;
+	s->state = FG_GRANT_SLOT_READY;
 	s->victim = (fg_av){ 0, 0 };
 	s->since = now;
 	s->last_use = now;
@@ -290,16 +290,16 @@
 	return g->conf.slots;
 }
 
-struct fg_slot_view fg_grants_view_slot(const struct fg_grants *g,
-					uint32_t slot)
+struct fg_grant_slot_view fg_grants_view_slot(const struct fg_grants *g,
+					      uint32_t slot)
 {
-	const struct fg_slot *s;
-	struct fg_slot_view view = { 0 };
+	const struct fg_grant_slot *s;
+	struct fg_grant_slot_view view = { 0 };
 
 	assert(slot < g->conf.slots);
 	s = &g->slot[slot];
 	view.state = s->state;
-	view.av = s->state == FG_SLOT_TAINTED ? s->incoming : s->av;
+	view.av = s->state == FG_GRANT_SLOT_TAINTED ? s->incoming : s->av;
 	view.pins = s->pins;
 	view.last_use = s->last_use;
 	view.since = s->since;
@@ -308,12 +308,12 @@
 
 bool fg_grants_has_adapter(const struct fg_grants *g, fg_av av)
 {
-	return fg_grants_find_slot(g, av, FG_SLOT_READY) >= 0;
+	return fg_grants_find_slot(g, av, FG_GRANT_SLOT_READY) >= 0;
 }
 
 void fg_grants_fill_resident(const struct fg_grants *g, fg_resident *out)
 {
-	fg_av av[FG_SLOTS_MAX];
+	fg_av av[FG_GRANT_SLOTS_MAX];
 	size_t n = 0;
 
 	memset(out, 0, sizeof(*out));
@@ -325,7 +325,7 @@
 	out->batch = g->conf.batch;
 	out->leaving = g->leaving || g->engine_leaving;
 	for (uint32_t i = 0; i < g->conf.slots; i++)
-		if (g->slot[i].state == FG_SLOT_READY)
+		if (g->slot[i].state == FG_GRANT_SLOT_READY)
 			av[n++] = g->slot[i].av;
 	fg_msg_set_avs(out, av, n);
 }
--- a/lib/grant/fg_grant.h
+++ b/lib/grant/fg_grant.h
@@ -26,17 +26,18 @@
 #include "owner/fg_owner.h"
 #include "peer/fg_msg.h"
 
-#define FG_SLOTS_MAX 64
-
-enum fg_slot_state {
-	FG_SLOT_EMPTY = 0,
-	FG_SLOT_LOADING = 1,
-	FG_SLOT_READY = 2,
-	FG_SLOT_TAINTED = 3, /* an open order may change it: gives no grants */
+#define FG_GRANT_SLOTS_MAX 64
+
+enum fg_grant_slot_state {
+	FG_GRANT_SLOT_EMPTY = 0,
+	FG_GRANT_SLOT_LOADING = 1,
+	FG_GRANT_SLOT_READY = 2,
+	/* An open order may change the slot, so it gives no grants. */
+	FG_GRANT_SLOT_TAINTED = 3,
 };
 
-struct fg_slot_view {
-	enum fg_slot_state state;
+struct fg_grant_slot_view {
+	enum fg_grant_slot_state state;
 	fg_av av;
 	uint32_t pins;
 	fg_ms last_use;
@@ -46,7 +47,7 @@
 struct fg_grants_conf {
 	uint64_t ep;
 	uint64_t fence;
-	uint32_t slots;	       /* 1..FG_SLOTS_MAX */
+	uint32_t slots;	       /* 1..FG_GRANT_SLOTS_MAX */
 	uint32_t batch;	       /* maximum of grants in flight */
 	uint32_t grant_max_ms; /* longest time from grant to hard deadline */
 	uint32_t queue_max;    /* maximum of held requests */
@@ -196,8 +197,8 @@
 uint32_t fg_grants_in_use(const struct fg_grants *g);
 uint32_t fg_grants_held(const struct fg_grants *g);
 uint32_t fg_grants_slot_count(const struct fg_grants *g);
-struct fg_slot_view fg_grants_view_slot(const struct fg_grants *g,
-					uint32_t slot);
+struct fg_grant_slot_view fg_grants_view_slot(const struct fg_grants *g,
+					      uint32_t slot);
 
 /* True if av is in a READY slot. */
 bool fg_grants_has_adapter(const struct fg_grants *g, fg_av av);
--- a/lib/grant/fg_grant_ask.c
+++ b/lib/grant/fg_grant_ask.c
@@ -87,7 +87,7 @@
 void fg_grants_unpin_slot(struct fg_grants *g, fg_ms now,
 			  struct fg_grant_rec *rec)
 {
-	struct fg_slot *s;
+	struct fg_grant_slot *s;
 
 	if (rec->slot < 0)
 		return;
@@ -96,7 +96,7 @@
 	s->pins--;
 	s->last_unpinned = now;
 	g->in_use--;
-	rec->slot = FG_SLOT_GONE;
+	rec->slot = FG_GRANT_SLOT_GONE;
 	update_full(g);
 }
 
@@ -137,13 +137,14 @@
 			     fg_ms deadline, int32_t slot)
 {
 	struct fg_grant_rec *rec = g_new0(struct fg_grant_rec, 1);
-	struct fg_slot *s = &g->slot[slot];
+	struct fg_grant_slot *s = &g->slot[slot];
 
-	assert(s->state == FG_SLOT_READY && fg_av_equal(s->av, request->av));
+	assert(s->state == FG_GRANT_SLOT_READY &&
+	       fg_av_equal(s->av, request->av));
 	rec->id = new_id(g);
 	rec->key = (struct fg_req_key){ request->holder, request->req_id };
 	rec->av = request->av;
-	rec->slot = FG_SLOT_NOT_KNOWN;
+	rec->slot = FG_GRANT_SLOT_NOT_KNOWN;
 	rec->deadline = hard_deadline(g, now, deadline);
 	s->last_use = now;
 	fg_grants_add_grant(g, rec);
@@ -241,9 +242,9 @@
 	status = get_refusal(g, now);
 	if (status != FG_GRANT_OK)
 		return status;
-	slot = fg_grants_find_slot(g, request->av, FG_SLOT_READY);
+	slot = fg_grants_find_slot(g, request->av, FG_GRANT_SLOT_READY);
 	if (slot < 0 &&
-	    fg_grants_find_slot(g, request->av, FG_SLOT_LOADING) < 0)
+	    fg_grants_find_slot(g, request->av, FG_GRANT_SLOT_LOADING) < 0)
 		return FG_GRANT_NOT_RESIDENT;
 	if (request->hold_ms > 0 &&
 	    fg_grants_held(g) + 1 < count_missing_for_batch(g))
@@ -314,10 +315,10 @@
 		return FG_GRANT_HELD;
 	if (status != FG_GRANT_OK)
 		return status;
-	slot = fg_grants_find_slot(g, held->request.av, FG_SLOT_READY);
+	slot = fg_grants_find_slot(g, held->request.av, FG_GRANT_SLOT_READY);
 	if (slot < 0)
 		return fg_grants_find_slot(g, held->request.av,
-					   FG_SLOT_LOADING) < 0
+					   FG_GRANT_SLOT_LOADING) < 0
 			       ? FG_GRANT_NOT_RESIDENT
 			       : FG_GRANT_HELD;
 	if (!start || g->in_use >= g->conf.batch ||
--- a/lib/grant/fg_grant_priv.h
+++ b/lib/grant/fg_grant_priv.h
@@ -20,12 +20,13 @@
 /* Upper bound on the ended requests that are remembered. */
 #define FG_ENDED_MAX 8192
 
-/* Values of fg_grant_rec.slot that are no slot. */
-#define FG_SLOT_NOT_KNOWN (-1) /* the engine's state has not been read yet */
-#define FG_SLOT_GONE (-2)      /* no slot holds the grant's adapter any more */
+/* Values of fg_grant_rec.slot that are no slot. NOT_KNOWN: the engine's state
+ * has not been read yet. GONE: no slot holds the grant's adapter any more. */
+#define FG_GRANT_SLOT_NOT_KNOWN (-1)
+#define FG_GRANT_SLOT_GONE (-2)
 
-struct fg_slot {
-	enum fg_slot_state state;
+struct fg_grant_slot {
+	enum fg_grant_slot_state state;
 	fg_av av;	/* READY: resident; LOADING: being loaded; else none */
 	fg_av victim;	/* LOADING, TAINTED: resident before, if known */
 	fg_av incoming; /* TAINTED: what the open order would load */
@@ -75,7 +76,7 @@
 
 struct fg_grants {
 	struct fg_grants_conf conf;
-	struct fg_slot slot[FG_SLOTS_MAX];
+	struct fg_grant_slot slot[FG_GRANT_SLOTS_MAX];
 	uint64_t next_id;
 	uint32_t in_use;	     /* sum of all pins */
 	GHashTable *grants;	     /* id -> fg_grant_rec, owns */
@@ -141,7 +142,7 @@
 
 /* Returns the slot in `state` (READY or LOADING) with av; -1 if none. */
 int32_t fg_grants_find_slot(const struct fg_grants *g, fg_av av,
-			    enum fg_slot_state state);
+			    enum fg_grant_slot_state state);
 
 /* True while an open order may replace a copy of av. The engine could run a
  * request on that copy, so no grant is given for the other copies either. */
--- a/lib/grant/fg_grant_recover.c
+++ b/lib/grant/fg_grant_recover.c
@@ -68,11 +68,12 @@
 static int32_t find_slot_of(const struct fg_grants *g, fg_av av)
 {
 	for (uint32_t i = 0; i < g->conf.slots; i++) {
-		const struct fg_slot *s = &g->slot[i];
+		const struct fg_grant_slot *s = &g->slot[i];
 
-		if (s->state == FG_SLOT_READY && fg_av_equal(s->av, av))
+		if (s->state == FG_GRANT_SLOT_READY && fg_av_equal(s->av, av))
 			return (int32_t)i;
-		if (s->state == FG_SLOT_TAINTED && fg_av_equal(s->victim, av))
+		if (s->state == FG_GRANT_SLOT_TAINTED &&
+		    fg_av_equal(s->victim, av))
 			return (int32_t)i;
 	}
 	return -1;
@@ -98,13 +99,13 @@
 	rec->key = key;
 	rec->av = info->av;
 	rec->deadline = now + info->left_ms + FG_EXPIRE_GRACE_MS;
-	rec->slot = FG_SLOT_NOT_KNOWN;
+	rec->slot = FG_GRANT_SLOT_NOT_KNOWN;
 	fg_grants_add_grant(g, rec);
 	slot = find_slot_of(g, info->av);
 	if (slot >= 0)
 		fg_grants_pin_slot(g, rec, slot);
 	else if (g->have_state)
-		rec->slot = FG_SLOT_GONE;
+		rec->slot = FG_GRANT_SLOT_GONE;
 }
 
 void fg_grants_on_peer_grants(struct fg_grants *g, fg_ms now, uint64_t peer,
@@ -119,11 +120,11 @@
 void fg_grants_taint_slots(struct fg_grants *g, fg_ms now,
 			   const struct fg_intent *intents, size_t n)
 {
-	uint64_t newest[FG_SLOTS_MAX] = { 0 };
+	uint64_t newest[FG_GRANT_SLOTS_MAX] = { 0 };
 
 	for (size_t i = 0; i < n; i++) {
 		const struct fg_intent *in = &intents[i];
-		struct fg_slot *s;
+		struct fg_grant_slot *s;
 
 		if (in->slot >= g->conf.slots)
 			continue;
@@ -132,12 +133,13 @@
 			s->taint_until = now + in->life_ms;
 		/* Orders for one slot are sent one after the other: once the
 		 * newest has taken effect, the older ones have ended. */
-		if (s->state == FG_SLOT_TAINTED && in->id < newest[in->slot])
+		if (s->state == FG_GRANT_SLOT_TAINTED &&
+		    in->id < newest[in->slot])
 			continue;
 		newest[in->slot] = in->id;
-		if (s->state == FG_SLOT_READY)
+		if (s->state == FG_GRANT_SLOT_READY)
 			fg_grants_note_change(g);
-		s->state = FG_SLOT_TAINTED;
+		s->state = FG_GRANT_SLOT_TAINTED;
 		s->av = (fg_av){ 0, 0 };
 		s->victim = in->victim;
 		s->incoming = in->av;
@@ -166,9 +168,9 @@
 static void set_slot_content(struct fg_grants *g, fg_ms now, int32_t slot,
 			     fg_av av)
 {
-	struct fg_slot *s = &g->slot[slot];
-	enum fg_slot_state state =
-		fg_av_is_none(av) ? FG_SLOT_EMPTY : FG_SLOT_READY;
+	struct fg_grant_slot *s = &g->slot[slot];
+	enum fg_grant_slot_state state =
+		fg_av_is_none(av) ? FG_GRANT_SLOT_EMPTY : FG_GRANT_SLOT_READY;
 
 	if (s->state == state && fg_av_equal(s->av, av))
 		return;
@@ -184,8 +186,8 @@
 
 /* True if the open order on a tainted slot has taken effect, or can no longer
  * arrive. */
-static bool is_taint_over(const struct fg_slot *s, fg_ms asked_at, bool loading,
-			  fg_av content)
+static bool is_taint_over(const struct fg_grant_slot *s, fg_ms asked_at,
+			  bool loading, fg_av content)
 {
 	if (loading)
 		return false;
@@ -199,13 +201,13 @@
 static void taint_while_loading(struct fg_grants *g, fg_ms now, int32_t slot,
 				fg_av incoming)
 {
-	struct fg_slot *s = &g->slot[slot];
+	struct fg_grant_slot *s = &g->slot[slot];
 
-	if (s->state == FG_SLOT_READY) {
+	if (s->state == FG_GRANT_SLOT_READY) {
 		unpin_others(g, now, slot, incoming);
 		fg_grants_note_change(g);
 	}
-	s->state = FG_SLOT_TAINTED;
+	s->state = FG_GRANT_SLOT_TAINTED;
 	s->av = (fg_av){ 0, 0 };
 	s->victim = (fg_av){ 0, 0 };
 	s->incoming = incoming;
@@ -218,7 +220,7 @@
 			   int32_t slot, const struct fg_engine_slot *es,
 			   fg_av content)
 {
-	struct fg_slot *s = &g->slot[slot];
+	struct fg_grant_slot *s = &g->slot[slot];
 
 	if (asked_at <= s->since)
 		return;
@@ -227,9 +229,9 @@
 	if (es->running == 0 && s->orphans_since <= asked_at)
 		s->orphans_since = FG_MS_NEVER;
 	switch (s->state) {
-	case FG_SLOT_LOADING:
+	case FG_GRANT_SLOT_LOADING:
 		break;
-	case FG_SLOT_TAINTED:
+	case FG_GRANT_SLOT_TAINTED:
 		if (is_taint_over(s, asked_at, es->loading, content)) {
 			set_slot_content(g, now, slot, content);
 		} else if (!es->loading) {
@@ -257,13 +259,13 @@
 		struct fg_grant_rec *rec = value;
 		int32_t slot;
 
-		if (rec->slot != FG_SLOT_NOT_KNOWN)
+		if (rec->slot != FG_GRANT_SLOT_NOT_KNOWN)
 			continue;
 		slot = find_slot_of(g, rec->av);
 		if (slot >= 0)
 			fg_grants_pin_slot(g, rec, slot);
 		else
-			rec->slot = FG_SLOT_GONE;
+			rec->slot = FG_GRANT_SLOT_GONE;
 	}
 }
 
@@ -278,7 +280,7 @@
 	g_hash_table_iter_init(&it, g->grants);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct fg_grant_rec *rec = value;
-		const struct fg_slot *s;
+		const struct fg_grant_slot *s;
 
 		if (!rec->holder_dead ||
 		    asked_at < rec->holder_dead_at + FG_ORPHAN_GRACE_MS)
@@ -328,7 +330,7 @@
 		const struct fg_engine_slot *es = &st->slot[i];
 		fg_av content = { 0, 0 };
 
-		if (restarted && g->slot[i].state == FG_SLOT_LOADING)
+		if (restarted && g->slot[i].state == FG_GRANT_SLOT_LOADING)
 			g->slot[i].epoch_changed = true;
 		if (i < st->slots && es->adapter[0] != '\0')
 			content = find(arg, es->adapter, es->version);
--- a/lib/node/fg_node_dump.c
+++ b/lib/node/fg_node_dump.c
@@ -34,12 +34,12 @@
 			 uint32_t slot)
 {
 	static const char *const states[] = {
-		[FG_SLOT_EMPTY] = "empty",
-		[FG_SLOT_LOADING] = "loading",
-		[FG_SLOT_READY] = "ready",
-		[FG_SLOT_TAINTED] = "tainted",
+		[FG_GRANT_SLOT_EMPTY] = "empty",
+		[FG_GRANT_SLOT_LOADING] = "loading",
+		[FG_GRANT_SLOT_READY] = "ready",
+		[FG_GRANT_SLOT_TAINTED] = "tainted",
 	};
-	struct fg_slot_view v = fg_grants_view_slot(owned->grants, slot);
+	struct fg_grant_slot_view v = fg_grants_view_slot(owned->grants, slot);
 	const char *adapter = fg_config_adapter_name(n->config, v.av);
 	const char *ver = fg_config_version_name(n->config, v.av);
 
--- a/lib/node/fg_node_own.c
+++ b/lib/node/fg_node_own.c
@@ -124,7 +124,7 @@
 	struct fg_grants_conf conf = {
 		.ep = owned->ep->id,
 		.fence = owned->fence,
-		.slots = CLAMP(st->slots, 1, FG_SLOTS_MAX),
+		.slots = CLAMP(st->slots, 1, FG_GRANT_SLOTS_MAX),
 		.batch = MAX(st->batch, 1),
 		.grant_max_ms = GRANT_MAX_MS,
 		.queue_max = n->conf.grant_queue_max,
--- a/tests/unit/test_grant_recover.c
+++ b/tests/unit/test_grant_recover.c
@@ -56,7 +56,7 @@
 	g_assert_cmpuint(victim.adapter, ==, 1);
 	fg_grants_finish_load(g, 20, slot, FG_ORDER_LOST, LIFE_MS);
 	g_assert_cmpint(fg_grants_view_slot(g, slot).state, ==,
-			FG_SLOT_TAINTED);
+			FG_GRANT_SLOT_TAINTED);
 	/* The slot shows its old content, but the order may still arrive. */
 	gfx_report_state(g, 30, gfx_engine_state(1, 2, 0));
 	g_assert_cmpint(gfx_request(g, 31, 1, 1, 1, &id), ==,
@@ -161,7 +161,8 @@
 	fg_grants_finish_load(g, 21, slot, FG_ORDER_DONE, LIFE_MS);
 	g_assert_false(fg_grants_has_adapter(g, gfx_av(3)));
 	gfx_report_state(g, 30, st);
-	g_assert_cmpint(fg_grants_view_slot(g, slot).state, ==, FG_SLOT_EMPTY);
+	g_assert_cmpint(fg_grants_view_slot(g, slot).state, ==,
+			FG_GRANT_SLOT_EMPTY);
 	fg_grants_free(g);
 }
 
--- a/tests/unit/test_grant_sim.c
+++ b/tests/unit/test_grant_sim.c
@@ -142,9 +142,9 @@
 	bool ready = false;
 
 	for (uint32_t s = 0; s < SLOTS; s++) {
-		struct fg_slot_view v = fg_grants_view_slot(w->g, s);
+		struct fg_grant_slot_view v = fg_grants_view_slot(w->g, s);
 
-		if (v.state == FG_SLOT_READY && fg_av_equal(v.av, j->av))
+		if (v.state == FG_GRANT_SLOT_READY && fg_av_equal(v.av, j->av))
 			ready = ready || v.pins > 0;
 	}
 	g_assert_true(ready);
@@ -381,10 +381,10 @@
 	uint32_t pins = 0;
 
 	for (uint32_t s = 0; s < SLOTS; s++) {
-		struct fg_slot_view v = fg_grants_view_slot(w->g, s);
+		struct fg_grant_slot_view v = fg_grants_view_slot(w->g, s);
 
 		pins += v.pins;
-		if (v.state == FG_SLOT_LOADING)
+		if (v.state == FG_GRANT_SLOT_LOADING)
 			g_assert_cmpuint(v.pins, ==, 0);
 	}
 	g_assert_cmpuint(pins, ==, fg_grants_in_use(w->g));
