--- a/lib/grant/fg_grant_priv.h
+++ b/lib/grant/fg_grant_priv.h
@@ -2,7 +2,7 @@
  * fg_grant_priv - internals of fg_grant.h, shared by its three parts:
  *
  *   fg_grant.c          slots, loads, accessors
- *   fg_grant_ask.c      grants and held requests
+ *   fg_grant_request.c  grants and held requests
  *   fg_grant_recover.c  engine state and recovery
  */
 #ifndef FG_GRANT_PRIV_H
