--- a/lib/gateway/fg_gw_hear.c
+++ b/lib/gateway/fg_gw_hear.c
@@ -172,7 +172,7 @@
 			rep->answer = FG_MESH_RESIDENT;
 			break;
 		case FG_SLOT_PENDING:
-			rep->answer = FG_MESH_LOADING;
+			rep->answer = FG_MESH_PENDING;
 			break;
 		default:
 			rep->answer = FG_MESH_FULL;
@@ -197,7 +197,7 @@
 		a->version = MAX(a->version, 1);
 		a->resident_at = now;
 		fg_gwreq_on_resident(gw, ep);
-	} else if (rep->answer != FG_MESH_LOADING) {
+	} else if (rep->answer != FG_MESH_PENDING) {
 		fg_gwreq_on_load_refused(gw, ep, rep->adapter);
 	}
 }
--- a/lib/mesh/fg_mesh.x
+++ b/lib/mesh/fg_mesh.x
@@ -78,7 +78,7 @@
 
 enum fg_mesh_answer {
 	FG_MESH_NOT_OWNER = 0,
-	FG_MESH_LOADING = 1,
+	FG_MESH_PENDING = 1, /* queued or loading */
 	FG_MESH_RESIDENT = 2,
 	FG_MESH_FULL = 3
 };
--- a/lib/mesh/fg_mesh_proto.h
+++ b/lib/mesh/fg_mesh_proto.h
@@ -100,7 +100,7 @@
 
 enum fg_mesh_answer {
 	FG_MESH_NOT_OWNER = 0,
-	FG_MESH_LOADING = 1,
+	FG_MESH_PENDING = 1,
 	FG_MESH_RESIDENT = 2,
 	FG_MESH_FULL = 3,
 };
