--- a/lib/gateway/fg_gateway_internal.h
+++ b/lib/gateway/fg_gateway_internal.h
@@ -13,7 +13,7 @@
  *   fg_gw_own.c      rows that this instance writes
  *   fg_gw_orders.c   adapter loads of the engines that this instance orders
  *   fg_gw_mesh.c     messages sent to other instances
- *   fg_gw_hear.c     messages received from other instances
+ *   fg_gw_receive.c  messages received from other instances
  *   fg_gw_pages.c    address lookup, readiness, metrics, state dump
  *
  * A neighbour is another instance in the same data centre. Times of type fg_ms
