--- a/lib/endpoint/fg_answer.c
+++ b/lib/endpoint/fg_answer.c
@@ -96,7 +96,7 @@
 	return !a->broken;
 }
 
-bool fg_answer_is_whole(const struct fg_answer *a)
+bool fg_answer_is_complete(const struct fg_answer *a)
 {
 	return a->ended && !a->broken && a->line->len == 0;
 }
--- a/lib/endpoint/fg_endpoint.h
+++ b/lib/endpoint/fg_endpoint.h
@@ -111,15 +111,16 @@
 	 * NULL, is polled; when it is not 0, the attempt is cancelled at the
 	 * endpoint. A filing that was sent is not cancelled.
 	 */
-	void (*run)(const struct fg_listed *ep, const struct fg_run_req *req,
+	void (*run)(const struct fg_list_entry *ep,
+		    const struct fg_run_req *req,
 		    void (*on_text)(void *arg, const char *piece), void *arg,
 		    const volatile int *cancel, struct fg_run_result *out);
 	/* Sends an order and waits for the result. */
-	enum fg_order_status (*send_order)(const struct fg_listed *ep,
+	enum fg_order_status (*send_order)(const struct fg_list_entry *ep,
 					   const struct fg_order *order);
 	/* Reads the state of an engine: FG_PF_OK, FG_PF_DOWN without a
 	 * readable answer, or FG_PF_BAD_ANSWER when it has no batch size. */
-	enum fg_pf_result (*read_state)(const struct fg_listed *ep,
+	enum fg_pf_result (*read_state)(const struct fg_list_entry *ep,
 					uint32_t timeout_ms,
 					struct fg_engine_state *out);
 };
@@ -145,7 +146,7 @@
 bool fg_answer_feed(struct fg_answer *a, const char *data, size_t len_bytes);
 
 /* True when the answer is complete and valid. */
-bool fg_answer_is_whole(const struct fg_answer *a);
+bool fg_answer_is_complete(const struct fg_answer *a);
 
 /* True when the engine reported that the request failed while running. */
 bool fg_answer_has_error(const struct fg_answer *a);
--- a/lib/endpoint/fg_endpoint_http.c
+++ b/lib/endpoint/fg_endpoint_http.c
@@ -110,7 +110,7 @@
 	       st == FG_RUN_NOT_LOADED;
 }
 
-static void cancel_run(const struct fg_listed *ep, const char *id)
+static void cancel_run(const struct fg_list_entry *ep, const char *id)
 {
 	char *body = g_strdup_printf("{\"id\":\"%s\"}", id);
 	struct fg_http_call call = {
@@ -138,12 +138,13 @@
 	if (fg_answer_has_error(run->answer))
 		return FG_RUN_ERROR;
 	if (answer->error == FG_HTTP_OK)
-		return fg_answer_is_whole(run->answer) ? FG_RUN_DONE
-						       : FG_RUN_BAD_ANSWER;
+		return fg_answer_is_complete(run->answer) ? FG_RUN_DONE
+							  : FG_RUN_BAD_ANSWER;
 	return classify_http_error(answer->error);
 }
 
-static void run_engine(const struct fg_listed *ep, const struct fg_run_req *req,
+static void run_engine(const struct fg_list_entry *ep,
+		       const struct fg_run_req *req,
 		       void (*on_text)(void *arg, const char *piece), void *arg,
 		       const volatile int *cancel, struct fg_run_result *out)
 {
@@ -204,8 +205,9 @@
 	return out;
 }
 
-static void run_plain(const struct fg_listed *ep, const struct fg_run_req *req,
-		      const volatile int *cancel, struct fg_run_result *out)
+static void run_plain(const struct fg_list_entry *ep,
+		      const struct fg_run_req *req, const volatile int *cancel,
+		      struct fg_run_result *out)
 {
 	char *body = pack_plain_body(req);
 	struct fg_http_call call = {
@@ -237,7 +239,8 @@
 	free(body);
 }
 
-static void http_run(const struct fg_listed *ep, const struct fg_run_req *req,
+static void http_run(const struct fg_list_entry *ep,
+		     const struct fg_run_req *req,
 		     void (*on_text)(void *arg, const char *piece), void *arg,
 		     const volatile int *cancel, struct fg_run_result *out)
 {
@@ -284,7 +287,7 @@
 	return NULL;
 }
 
-static enum fg_order_status http_send_order(const struct fg_listed *ep,
+static enum fg_order_status http_send_order(const struct fg_list_entry *ep,
 					    const struct fg_order *order)
 {
 	json_t *o = json_pack("{s:I,s:i,s:I}", "order", (json_int_t)order->id,
@@ -346,7 +349,7 @@
 	return (uint64_t)json_integer_value(json_object_get(o, name));
 }
 
-static enum fg_pf_result http_read_state(const struct fg_listed *ep,
+static enum fg_pf_result http_read_state(const struct fg_list_entry *ep,
 					 uint32_t timeout_ms,
 					 struct fg_engine_state *out)
 {
--- a/lib/member/fg_member.c
+++ b/lib/member/fg_member.c
@@ -183,11 +183,11 @@
 /* ---- The platform's list ---- */
 
 static void handle_list_entry(struct fg_member *m, fg_ms now,
-			      const struct fg_listed *l)
+			      const struct fg_list_entry *l)
 {
 	struct fg_peer_entry *e;
 
-	if (l->kind != FG_LISTED_ENTRY || l->id == m->conf.self.id)
+	if (l->kind != FG_LIST_ENTRY_INSTANCE || l->id == m->conf.self.id)
 		return;
 	e = fg_member_find_entry(m, l->id);
 	if (e == NULL) {
@@ -199,7 +199,7 @@
 }
 
 void fg_member_on_list(struct fg_member *m, fg_ms now, enum fg_pf_result result,
-		       const struct fg_listed *list, size_t n,
+		       const struct fg_list_entry *list, size_t n,
 		       fg_member_emit emit, void *arg)
 {
 	m->emit = emit;
@@ -341,7 +341,7 @@
 
 static void consider_candidate(struct candidate *best, uint64_t key,
 			       const char *region, const char *dc,
-			       const struct fg_listed *info)
+			       const struct fg_list_entry *info)
 {
 	uint64_t score = fg_hash_mix(info->id, key);
 	bool in_dc;
--- a/lib/member/fg_member.h
+++ b/lib/member/fg_member.h
@@ -72,7 +72,8 @@
 };
 
 struct fg_member_conf {
-	struct fg_listed self; /* kind FG_LISTED_ENTRY; id is set from name */
+	/* Its kind is FG_LIST_ENTRY_INSTANCE; its id is set from its name. */
+	struct fg_list_entry self;
 	uint64_t boot; /* nonce of this run; no second run uses the same name */
 	uint32_t renew_ms; /* between renewals of the own lease */
 	uint32_t lease_ms; /* a lease row unchanged this long has lapsed */
@@ -113,7 +114,7 @@
 };
 
 struct fg_peer_view {
-	struct fg_listed info;
+	struct fg_list_entry info;
 	enum fg_peer_state state;
 	fg_ms heard_at;	   /* when its last message arrived; 0 never */
 	uint64_t revision; /* of its configuration, as last received */
@@ -166,9 +167,9 @@
 
 /* Takes the result of a LIST action; the list stays the caller's. Any result
  * but FG_PF_OK means that the platform was unreachable; list and n are then
- * ignored. Entries of a kind other than FG_LISTED_ENTRY are ignored. */
+ * ignored. Entries of a kind other than FG_LIST_ENTRY_INSTANCE are ignored. */
 void fg_member_on_list(struct fg_member *m, fg_ms now, enum fg_pf_result result,
-		       const struct fg_listed *list, size_t n,
+		       const struct fg_list_entry *list, size_t n,
 		       fg_member_emit emit, void *arg);
 
 /* Takes a message of instance `from`; the caller keeps msg. PING, PONG and
--- a/lib/member/fg_member_internal.h
+++ b/lib/member/fg_member_internal.h
@@ -25,10 +25,10 @@
 struct fg_lease_row {
 	uint64_t boot;
 	bool leaving;
-	uint32_t region_size;  /* instances of the region that the holder counts
-				*/
-	uint32_t total_size;   /* likewise of all regions */
-	struct fg_listed info; /* id and name come from the key */
+	uint32_t region_size; /* instances in the region, as the holder counts
+			       * them */
+	uint32_t total_size;  /* likewise of all regions */
+	struct fg_list_entry info; /* id and name come from the key */
 };
 
 /* Another instance. */
--- a/lib/member/fg_member_row.c
+++ b/lib/member/fg_member_row.c
@@ -52,7 +52,7 @@
 		row->region_size = (uint32_t)region_size;
 		row->total_size = (uint32_t)total_size;
 		row->leaving = strcmp(state, "leaving") == 0;
-		row->info.kind = FG_LISTED_ENTRY;
+		row->info.kind = FG_LIST_ENTRY_INSTANCE;
 		row->info.id = fg_hash_str(name);
 		row->info.leaving = row->leaving;
 		g_strlcpy(row->info.name, name, sizeof(row->info.name));
--- a/lib/node/fg_node.c
+++ b/lib/node/fg_node.c
@@ -334,7 +334,7 @@
 /* One instance per region deletes ledger rows whose retention has ended. */
 static void tick_sweep(struct fg_node *n)
 {
-	const struct fg_listed *self = &n->conf.member.self;
+	const struct fg_list_entry *self = &n->conf.member.self;
 	uint64_t key = fg_hash_str("ledger sweep");
 
 	if (n->now < n->next_sweep_at)
@@ -385,7 +385,7 @@
 
 void fg_node_on_list_done(struct fg_node *n, fg_ms now,
 			  enum fg_pf_result result,
-			  const struct fg_listed *list, size_t n_list)
+			  const struct fg_list_entry *list, size_t n_list)
 {
 	n->now = now;
 	n->list_pending = false;
@@ -395,8 +395,8 @@
 		return;
 	n->list_read_at = n->list_asked_at;
 	for (size_t i = 0; i < n_list; i++)
-		if (list[i].kind != FG_LISTED_ENTRY)
-			fg_ep_on_listed(n, &list[i]);
+		if (list[i].kind != FG_LIST_ENTRY_INSTANCE)
+			fg_ep_on_list_entry(n, &list[i]);
 	fg_node_run_deferred(n);
 }
 
--- a/lib/node/fg_node.h
+++ b/lib/node/fg_node.h
@@ -110,12 +110,12 @@
 struct fg_run_cmd {
 	uint64_t req; /* fg_request.id */
 	uint32_t attempt;
-	struct fg_listed ep;
+	struct fg_list_entry ep;
 	struct fg_run_req run; /* strings valid until fg_node_on_run_done() */
 };
 
 struct fg_order_cmd {
-	struct fg_listed ep;
+	struct fg_list_entry ep;
 	struct fg_order order; /* strings valid only during the callback */
 };
 
@@ -132,7 +132,7 @@
 	void (*send_order)(void *arg, const struct fg_order_cmd *cmd);
 
 	/* Reads an engine's state; it ends in fg_node_on_engine_state(). */
-	void (*read_state)(void *arg, const struct fg_listed *ep);
+	void (*read_state)(void *arg, const struct fg_list_entry *ep);
 
 	/* Runs a table operation and takes ownership of op; it ends in
 	 * fg_node_on_table_done(). */
@@ -145,7 +145,7 @@
 	void (*announce)(void *arg, bool leaving);
 
 	/* Sends a message to another instance; it may be lost. */
-	void (*send_msg)(void *arg, const struct fg_listed *to,
+	void (*send_msg)(void *arg, const struct fg_list_entry *to,
 			 const fg_msg *msg);
 
 	/* Answers an operator's change. text may be NULL. */
@@ -204,7 +204,7 @@
  * FG_PF_OK. */
 void fg_node_on_list_done(struct fg_node *n, fg_ms now,
 			  enum fg_pf_result result,
-			  const struct fg_listed *list, size_t n_list);
+			  const struct fg_list_entry *list, size_t n_list);
 
 /* A message of instance `from` arrived. */
 void fg_node_on_msg(struct fg_node *n, fg_ms now, uint64_t from,
--- a/lib/node/fg_node_address.c
+++ b/lib/node/fg_node_address.c
@@ -12,8 +12,8 @@
 	size_t max;
 };
 
-static const struct fg_listed *find_live_instance(struct fg_node *n,
-						  uint64_t inst)
+static const struct fg_list_entry *find_live_instance(struct fg_node *n,
+						      uint64_t inst)
 {
 	const struct fg_peer_view *peer;
 
@@ -27,7 +27,7 @@
 
 static void add_instance(struct address_list *list, uint64_t inst)
 {
-	const struct fg_listed *info = find_live_instance(list->n, inst);
+	const struct fg_list_entry *info = find_live_instance(list->n, inst);
 
 	if (info == NULL || list->len == list->max)
 		return;
--- a/lib/node/fg_node_broker.c
+++ b/lib/node/fg_node_broker.c
@@ -65,7 +65,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct fg_ep *ep = value;
 
-		if (ep->info.kind != FG_LISTED_ENGINE || ep->leaving ||
+		if (ep->info.kind != FG_LIST_ENTRY_ENGINE || ep->leaving ||
 		    strcmp(ep->info.service, m->service) != 0)
 			continue;
 		if (best == NULL || strcmp(ep->info.region, own_region) == 0 ||
--- a/lib/node/fg_node_dump.c
+++ b/lib/node/fg_node_dump.c
@@ -206,7 +206,7 @@
 
 json_t *fg_node_dump(struct fg_node *n, fg_ms now)
 {
-	const struct fg_listed *self = &n->conf.member.self;
+	const struct fg_list_entry *self = &n->conf.member.self;
 	json_t *out;
 
 	n->now = now;
--- a/lib/node/fg_node_eps.c
+++ b/lib/node/fg_node_eps.c
@@ -32,7 +32,7 @@
 /* Passes an engine's facts to the directory and to the ownership module. */
 static void update_routing(struct fg_node *n, const struct fg_ep *ep)
 {
-	if (ep->info.kind != FG_LISTED_ENGINE)
+	if (ep->info.kind != FG_LIST_ENTRY_ENGINE)
 		return;
 	fg_dir_set_endpoint(n->dir, ep->id, ep->info.service, ep->info.region,
 			    ep->info.dc, ep->leaving);
@@ -54,20 +54,20 @@
 		broadcast_leaving(n, ep->id);
 }
 
-static struct fg_ep *add_ep(struct fg_node *n, const struct fg_listed *info)
+static struct fg_ep *add_ep(struct fg_node *n, const struct fg_list_entry *info)
 {
 	struct fg_ep *ep = g_new0(struct fg_ep, 1);
 
 	ep->id = info->id;
 	ep->info = *info;
 	g_hash_table_insert(n->eps, &ep->id, ep);
-	if (info->kind == FG_LISTED_ENGINE)
+	if (info->kind == FG_LIST_ENTRY_ENGINE)
 		fg_model_get(n, info->service);
 	update_routing(n, ep);
 	return ep;
 }
 
-void fg_ep_on_listed(struct fg_node *n, const struct fg_listed *info)
+void fg_ep_on_list_entry(struct fg_node *n, const struct fg_list_entry *info)
 {
 	struct fg_ep *ep = fg_ep_find(n, info->id);
 
@@ -138,7 +138,7 @@
 		struct fg_ep *ep = value;
 		uint64_t rank;
 
-		if (ep->info.kind != FG_LISTED_PLAIN || ep->leaving ||
+		if (ep->info.kind != FG_LIST_ENTRY_PLAIN || ep->leaving ||
 		    n->now < ep->down_until ||
 		    strcmp(ep->info.service, r->service) != 0)
 			continue;
--- a/lib/node/fg_node_internal.h
+++ b/lib/node/fg_node_internal.h
@@ -21,7 +21,7 @@
 /* An endpoint known from the platform's list. */
 struct fg_ep {
 	uint64_t id;
-	struct fg_listed info;
+	struct fg_list_entry info;
 	bool leaving;
 	fg_ms listed_at; /* last seen in the list */
 	fg_ms down_until;
@@ -258,7 +258,7 @@
 
 /* Adds the endpoint if it is new, and notes that the platform's list shows
  * it. */
-void fg_ep_on_listed(struct fg_node *n, const struct fg_listed *info);
+void fg_ep_on_list_entry(struct fg_node *n, const struct fg_list_entry *info);
 
 /* Removes endpoints that the list has not shown for FG_EP_EXPIRE_MS. */
 void fg_eps_expire(struct fg_node *n);
--- a/lib/platform/fg_platform.h
+++ b/lib/platform/fg_platform.h
@@ -103,18 +103,18 @@
 
 /* ---- Instances and endpoints in the platform's list ---- */
 
-enum fg_listed_kind {
-	FG_LISTED_ENTRY = 1, /* an instance of this system */
-	FG_LISTED_ENGINE = 2,
-	FG_LISTED_PLAIN = 3,
+enum fg_list_entry_kind {
+	FG_LIST_ENTRY_INSTANCE = 1, /* an instance of this system */
+	FG_LIST_ENTRY_ENGINE = 2,
+	FG_LIST_ENTRY_PLAIN = 3,
 };
 
 #define FG_NAME_BYTES 64
 #define FG_ADDR_BYTES 48
 
-struct fg_listed {
+struct fg_list_entry {
 	uint64_t id; /* fg_hash_str(name) */
-	enum fg_listed_kind kind;
+	enum fg_list_entry_kind kind;
 	char name[FG_NAME_BYTES]; /* unique; a replacement gets a new one */
 	char addr[FG_ADDR_BYTES]; /* HTTP, "127.0.0.1:8080" */
 	char rpc[FG_ADDR_BYTES];  /* RPC between instances; entries only */
@@ -136,10 +136,10 @@
 	/* Reads the list of instances and endpoints. *out is an array of *n
 	 * items, which the caller g_free()s. */
 	enum fg_pf_result (*read_list)(struct fg_platform *p,
-				       struct fg_listed **out, size_t *n);
+				       struct fg_list_entry **out, size_t *n);
 	/* Announces this instance to the platform as live or leaving. */
 	enum fg_pf_result (*announce)(struct fg_platform *p,
-				      const struct fg_listed *self);
+				      const struct fg_list_entry *self);
 	/* Reads an object; the caller g_free()s *text, which is NULL unless the
 	 * result is FG_PF_OK. */
 	enum fg_pf_result (*object_get)(struct fg_platform *p, const char *name,
--- a/lib/platform/fg_platform_http.c
+++ b/lib/platform/fg_platform_http.c
@@ -234,20 +234,20 @@
 }
 
 static const char *const kind_names[] = {
-	[FG_LISTED_ENTRY] = "entry",
-	[FG_LISTED_ENGINE] = "engine",
-	[FG_LISTED_PLAIN] = "plain",
+	[FG_LIST_ENTRY_INSTANCE] = "entry",
+	[FG_LIST_ENTRY_ENGINE] = "engine",
+	[FG_LIST_ENTRY_PLAIN] = "plain",
 };
 
-static bool parse_listed(const json_t *o, struct fg_listed *out)
+static bool parse_list_entry(const json_t *o, struct fg_list_entry *out)
 {
 	const char *kind = json_string_value(json_object_get(o, "kind"));
 	const char *state = json_string_value(json_object_get(o, "state"));
 
 	memset(out, 0, sizeof(*out));
-	for (int k = FG_LISTED_ENTRY; k <= FG_LISTED_PLAIN; k++)
+	for (int k = FG_LIST_ENTRY_INSTANCE; k <= FG_LIST_ENTRY_PLAIN; k++)
 		if (g_strcmp0(kind, kind_names[k]) == 0)
-			out->kind = (enum fg_listed_kind)k;
+			out->kind = (enum fg_list_entry_kind)k;
 	copy_field(o, "name", out->name, sizeof(out->name));
 	copy_field(o, "addr", out->addr, sizeof(out->addr));
 	copy_field(o, "rpc", out->rpc, sizeof(out->rpc));
@@ -260,7 +260,7 @@
 }
 
 static enum fg_pf_result http_read_list(struct fg_platform *base,
-					struct fg_listed **out, size_t *n)
+					struct fg_list_entry **out, size_t *n)
 {
 	struct http_platform *p = (struct http_platform *)base;
 	struct fg_http_answer answer;
@@ -279,10 +279,10 @@
 		list = json_object_get(root, "instances");
 		if (!json_is_array(list))
 			result = FG_PF_BAD_ANSWER;
-		*out = g_new0(struct fg_listed, json_array_size(list) + 1);
+		*out = g_new0(struct fg_list_entry, json_array_size(list) + 1);
 		json_array_foreach(
 			list, i,
-			item) if (parse_listed(item, &(*out)[*n]))(*n)++;
+			item) if (parse_list_entry(item, &(*out)[*n]))(*n)++;
 	}
 	json_decref(root);
 	g_free(answer.text);
@@ -290,7 +290,7 @@
 }
 
 static enum fg_pf_result http_announce(struct fg_platform *base,
-				       const struct fg_listed *self)
+				       const struct fg_list_entry *self)
 {
 	struct http_platform *p = (struct http_platform *)base;
 	struct fg_http_answer answer;
--- a/lib/run/fg_run.c
+++ b/lib/run/fg_run.c
@@ -53,9 +53,9 @@
 
 /* ---- The node's configuration, from the settings ---- */
 
-static void fill_self(struct fg_listed *self, const struct fg_settings *s)
+static void fill_self(struct fg_list_entry *self, const struct fg_settings *s)
 {
-	self->kind = FG_LISTED_ENTRY;
+	self->kind = FG_LIST_ENTRY_INSTANCE;
 	g_strlcpy(self->name, s->name, sizeof(self->name));
 	g_strlcpy(self->addr, s->http, sizeof(self->addr));
 	g_strlcpy(self->rpc, s->rpc, sizeof(self->rpc));
--- a/lib/run/fg_run_internal.h
+++ b/lib/run/fg_run_internal.h
@@ -15,7 +15,7 @@
 	const struct fg_settings *settings;
 	pthread_mutex_t node_lock; /* guards node */
 	struct fg_node *node;
-	struct fg_listed self;
+	struct fg_list_entry self;
 	struct fg_platform *platform;
 	const struct fg_endpoint_ops *endpoints;
 	struct fg_peer *peer;
--- a/lib/run/fg_run_io.c
+++ b/lib/run/fg_run_io.c
@@ -102,7 +102,7 @@
 
 struct order_job {
 	struct fg_run *run;
-	struct fg_listed ep;
+	struct fg_list_entry ep;
 	struct fg_order order;
 	fg_ms queued_at;
 	char *adapter;
@@ -149,7 +149,7 @@
 
 struct state_job {
 	struct fg_run *run;
-	struct fg_listed ep;
+	struct fg_list_entry ep;
 };
 
 static void execute_state_read(void *arg)
@@ -169,7 +169,7 @@
 	g_free(job);
 }
 
-static void io_read_state(void *arg, const struct fg_listed *ep)
+static void io_read_state(void *arg, const struct fg_list_entry *ep)
 {
 	struct fg_run *run = arg;
 	struct state_job *job = g_new0(struct state_job, 1);
@@ -213,7 +213,7 @@
 static void execute_list_read(void *arg)
 {
 	struct fg_run *run = arg;
-	struct fg_listed *list;
+	struct fg_list_entry *list;
 	size_t n;
 	enum fg_pf_result result;
 
@@ -239,7 +239,7 @@
 static void execute_announce(void *arg)
 {
 	struct announce_job *job = arg;
-	struct fg_listed self = job->run->self;
+	struct fg_list_entry self = job->run->self;
 
 	self.leaving = job->leaving;
 	job->run->platform->ops->announce(job->run->platform, &self);
@@ -258,7 +258,7 @@
 
 /* ---- Messages, answers to operators, events ---- */
 
-static void io_send_msg(void *arg, const struct fg_listed *to,
+static void io_send_msg(void *arg, const struct fg_list_entry *to,
 			const fg_msg *msg)
 {
 	struct fg_run *run = arg;
--- a/tests/bench/slopes.h
+++ b/tests/bench/slopes.h
@@ -40,10 +40,10 @@
 	fg_ms now; /* virtual time */
 	int n_nodes;
 	int n_regions;
-	struct fg_listed *nodes; /* [0] is the measured one */
-	uint64_t version;	 /* last row version of the table */
-	uint64_t own_version;	 /* of the measured instance's lease row */
-	bool outage;		 /* the table is unreachable */
+	struct fg_list_entry *nodes; /* [0] is the measured one */
+	uint64_t version;	     /* last row version of the table */
+	uint64_t own_version;	     /* of the measured instance's lease row */
+	bool outage;		     /* the table is unreachable */
 	struct fg_member *member;
 	struct fg_owner *owner; /* NULL: not measured */
 	int n_keys;		/* keys with an owner row */
--- a/tests/bench/slopes_world.c
+++ b/tests/bench/slopes_world.c
@@ -193,13 +193,13 @@
 	w->now = 1000000;
 	w->n_nodes = n_nodes;
 	w->n_regions = n_regions;
-	w->nodes = g_new0(struct fg_listed, (gsize)n_nodes);
+	w->nodes = g_new0(struct fg_list_entry, (gsize)n_nodes);
 	for (int i = 0; i < n_nodes; i++) {
-		struct fg_listed *l = &w->nodes[i];
+		struct fg_list_entry *l = &w->nodes[i];
 
 		g_snprintf(l->name, sizeof(l->name), "entry-%04d-7f3a", i);
 		l->id = fg_hash_str(l->name);
-		l->kind = FG_LISTED_ENTRY;
+		l->kind = FG_LIST_ENTRY_INSTANCE;
 		g_snprintf(l->addr, sizeof(l->addr), "10.20.30.%d:8080", i);
 		g_snprintf(l->rpc, sizeof(l->rpc), "10.20.30.%d:7080", i);
 		g_snprintf(l->region, sizeof(l->region), "region-%d",
--- a/tests/fuzz/fuzz_answer.c
+++ b/tests/fuzz/fuzz_answer.c
@@ -18,7 +18,7 @@
 
 	ok = fg_answer_feed(a, (const char *)data, half);
 	ok = fg_answer_feed(a, (const char *)data + half, size - half) && ok;
-	if (fg_answer_is_whole(a) && (!ok || fg_answer_has_error(a)))
+	if (fg_answer_is_complete(a) && (!ok || fg_answer_has_error(a)))
 		abort();
 	fg_answer_free(a);
 	return 0;
--- a/tests/unit/cluster.c
+++ b/tests/unit/cluster.c
@@ -266,7 +266,7 @@
 static void deliver_list(struct cluster *c, struct instance *n)
 {
 	struct emit_ctx ctx = { .c = c, .n = n };
-	struct fg_listed listed[INSTANCES_MAX];
+	struct fg_list_entry listed[INSTANCES_MAX];
 	size_t count = 0;
 	bool down = c->now < c->outage_until || n->platform_cut;
 
@@ -325,7 +325,7 @@
 	g_snprintf(n->self.name, sizeof(n->self.name), "entry-%d",
 		   c->names_given++);
 	n->self.id = fg_hash_str(n->self.name);
-	n->self.kind = FG_LISTED_ENTRY;
+	n->self.kind = FG_LIST_ENTRY_INSTANCE;
 	g_strlcpy(n->self.region, region, sizeof(n->self.region));
 	g_strlcpy(n->self.dc, "dc-1", sizeof(n->self.dc));
 	g_snprintf(n->self.rpc, sizeof(n->self.rpc), "10.0.0.1:%d",
--- a/tests/unit/cluster.h
+++ b/tests/unit/cluster.h
@@ -25,7 +25,7 @@
 	bool alive;
 	struct fg_member *member;
 	struct fg_owner *owner;
-	struct fg_listed self;
+	struct fg_list_entry self;
 	fg_ms clock_offset;
 	double clock_rate;
 	fg_ms paused_until; /* in cluster time */
--- a/tests/unit/node_fixture.c
+++ b/tests/unit/node_fixture.c
@@ -41,7 +41,7 @@
 	g_array_append_val(fx->orders, copy);
 }
 
-static void io_read_state(void *arg, const struct fg_listed *ep)
+static void io_read_state(void *arg, const struct fg_list_entry *ep)
 {
 	struct node_fixture *fx = arg;
 
@@ -69,7 +69,7 @@
 	(void)leaving;
 }
 
-static void io_send_msg(void *arg, const struct fg_listed *to,
+static void io_send_msg(void *arg, const struct fg_list_entry *to,
 			const fg_msg *msg)
 {
 	struct node_fixture *fx = arg;
@@ -120,7 +120,7 @@
 	fx->list_asked = false;
 	if (fx->table->fault == FG_PF_OK)
 		fg_node_on_list_done(fx->node, fx->now, FG_PF_OK,
-				     (struct fg_listed *)fx->list->data,
+				     (struct fg_list_entry *)fx->list->data,
 				     fx->list->len);
 	else
 		fg_node_on_list_done(fx->node, fx->now, FG_PF_DOWN, NULL, 0);
@@ -185,21 +185,22 @@
 	answer_ops(fx);
 }
 
-void nfx_set_listed(struct node_fixture *fx, enum fg_listed_kind kind,
-		    const char *name, bool leaving)
+void nfx_set_list_entry(struct node_fixture *fx, enum fg_list_entry_kind kind,
+			const char *name, bool leaving)
 {
-	struct fg_listed item = { .kind = kind, .leaving = leaving };
+	struct fg_list_entry item = { .kind = kind, .leaving = leaving };
 
 	g_strlcpy(item.name, name, sizeof(item.name));
 	g_strlcpy(item.addr, "127.0.0.1:1", sizeof(item.addr));
 	g_strlcpy(item.rpc, "127.0.0.1:2", sizeof(item.rpc));
 	g_strlcpy(item.region, "coast", sizeof(item.region));
 	g_strlcpy(item.dc, "north", sizeof(item.dc));
-	g_strlcpy(item.service, kind == FG_LISTED_PLAIN ? "orders" : "menus",
+	g_strlcpy(item.service,
+		  kind == FG_LIST_ENTRY_PLAIN ? "orders" : "menus",
 		  sizeof(item.service));
 	item.id = fg_hash_str(name);
 	for (guint i = 0; i < fx->list->len; i++)
-		if (g_array_index(fx->list, struct fg_listed, i).id ==
+		if (g_array_index(fx->list, struct fg_list_entry, i).id ==
 		    item.id) {
 			g_array_remove_index(fx->list, i);
 			break;
@@ -339,10 +340,10 @@
 		.record_event = io_record_event,
 		.arg = fx,
 	};
-	struct fg_listed *self = &conf.member.self;
+	struct fg_list_entry *self = &conf.member.self;
 
 	fg_node_conf_defaults(&conf);
-	self->kind = FG_LISTED_ENTRY;
+	self->kind = FG_LIST_ENTRY_INSTANCE;
 	g_strlcpy(self->name, "entry-1", sizeof(self->name));
 	g_strlcpy(self->addr, "127.0.0.1:3", sizeof(self->addr));
 	g_strlcpy(self->rpc, "127.0.0.1:4", sizeof(self->rpc));
@@ -396,14 +397,14 @@
 	fx->sent = g_ptr_array_new_with_free_func(free_msg);
 	fx->runs = g_array_new(FALSE, TRUE, sizeof(struct fg_run_cmd));
 	fx->orders = g_array_new(FALSE, TRUE, sizeof(struct fg_order_cmd));
-	fx->list = g_array_new(FALSE, TRUE, sizeof(struct fg_listed));
+	fx->list = g_array_new(FALSE, TRUE, sizeof(struct fg_list_entry));
 	fx->auto_state = true;
 	fx->auto_order = true;
 	fx->now = START_MS;
 	create_node(fx);
-	nfx_set_listed(fx, FG_LISTED_ENTRY, "entry-1", false);
-	nfx_set_listed(fx, FG_LISTED_ENGINE, NFX_ENGINE, false);
-	nfx_set_listed(fx, FG_LISTED_PLAIN, NFX_PLAIN, false);
+	nfx_set_list_entry(fx, FG_LIST_ENTRY_INSTANCE, "entry-1", false);
+	nfx_set_list_entry(fx, FG_LIST_ENTRY_ENGINE, NFX_ENGINE, false);
+	nfx_set_list_entry(fx, FG_LIST_ENTRY_PLAIN, NFX_PLAIN, false);
 	nfx_advance(fx, STARTUP_MS);
 	add_catalogue(fx);
 	return fx;
--- a/tests/unit/node_fixture.h
+++ b/tests/unit/node_fixture.h
@@ -38,7 +38,7 @@
 	GArray *orders;	    /* struct fg_order_cmd, not yet answered */
 	GPtrArray *sent;    /* fg_msg, sent to other instances */
 	GQueue ops;	    /* struct fg_table_op, not yet answered */
-	GArray *list;	    /* struct fg_listed, the platform's list */
+	GArray *list;	    /* struct fg_list_entry, the platform's list */
 	bool state_asked;
 	bool list_asked;
 	bool state_fails;	     /* reads of the engine's state fail */
@@ -61,8 +61,8 @@
 void nfx_advance(struct node_fixture *fx, fg_ms ms);
 
 /* Adds or replaces an instance or endpoint in the platform's list. */
-void nfx_set_listed(struct node_fixture *fx, enum fg_listed_kind kind,
-		    const char *name, bool leaving);
+void nfx_set_list_entry(struct node_fixture *fx, enum fg_list_entry_kind kind,
+			const char *name, bool leaving);
 
 /* Send a request under an id that the test chooses. */
 void nfx_send_generate(struct node_fixture *fx, uint64_t id,
--- a/tests/unit/test_node.c
+++ b/tests/unit/test_node.c
@@ -198,7 +198,7 @@
 {
 	struct node_fixture *fx = nfx_new();
 
-	nfx_set_listed(fx, FG_LISTED_PLAIN, NFX_PLAIN, true);
+	nfx_set_list_entry(fx, FG_LIST_ENTRY_PLAIN, NFX_PLAIN, true);
 	nfx_advance(fx, 5000);
 	nfx_send_status(fx, 10);
 	assert_outcome(fx, 10, FG_NOT_RUN, FG_R_NO_ENDPOINT);
@@ -232,7 +232,7 @@
 	};
 	struct fg_run_cmd cmd;
 
-	nfx_set_listed(fx, FG_LISTED_ENTRY, NFX_PEER, false);
+	nfx_set_list_entry(fx, FG_LIST_ENTRY_INSTANCE, NFX_PEER, false);
 	put_peer(fx, "live");
 	nfx_advance(fx, 6000);
 	nfx_clear_sent(fx);
@@ -257,7 +257,7 @@
 	nfx_send_generate(fx, 10, "a1", FG_CLASS_INTERACTIVE, 10000);
 	nfx_advance(fx, 1000);
 	nfx_finish_run(fx, 0, FG_RUN_DONE);
-	nfx_set_listed(fx, FG_LISTED_ENGINE, NFX_ENGINE, true);
+	nfx_set_list_entry(fx, FG_LIST_ENTRY_ENGINE, NFX_ENGINE, true);
 	nfx_advance(fx, 5000);
 	nfx_send_generate(fx, 11, "a1", FG_CLASS_INTERACTIVE, 3000);
 	nfx_advance(fx, 4000);
@@ -304,7 +304,7 @@
 {
 	struct node_fixture *fx = nfx_new();
 
-	nfx_set_listed(fx, FG_LISTED_ENTRY, NFX_PEER, false);
+	nfx_set_list_entry(fx, FG_LIST_ENTRY_INSTANCE, NFX_PEER, false);
 	put_peer(fx, "leaving");
 	nfx_advance(fx, 6000);
 	nfx_clear_sent(fx);
@@ -328,11 +328,11 @@
 		.batch = NFX_BATCH,
 	};
 
-	nfx_set_listed(fx, FG_LISTED_ENTRY, NFX_PEER, false);
+	nfx_set_list_entry(fx, FG_LIST_ENTRY_INSTANCE, NFX_PEER, false);
 	put_peer(fx, "leaving");
 	nfx_advance(fx, 6000);
 	nfx_clear_sent(fx);
-	nfx_set_listed(fx, FG_LISTED_ENGINE, "engine-2", false);
+	nfx_set_list_entry(fx, FG_LIST_ENTRY_ENGINE, "engine-2", false);
 	nfx_advance(fx, 8000);
 	fg_node_on_engine_state(fx->node, fx->now, fg_hash_str("engine-2"),
 				fx->now, &st);
@@ -347,7 +347,7 @@
 	struct node_fixture *fx = nfx_new();
 	fg_msg *msg = fg_msg_new(FG_MSG_GRANT_REP);
 
-	nfx_set_listed(fx, FG_LISTED_ENTRY, NFX_PEER, false);
+	nfx_set_list_entry(fx, FG_LIST_ENTRY_INSTANCE, NFX_PEER, false);
 	put_peer(fx, "live");
 	nfx_advance(fx, 6000);
 	nfx_clear_sent(fx);
@@ -495,7 +495,7 @@
 	struct node_fixture *fx = nfx_new();
 	fg_msg *msg;
 
-	nfx_set_listed(fx, FG_LISTED_ENTRY, NFX_PEER, false);
+	nfx_set_list_entry(fx, FG_LIST_ENTRY_INSTANCE, NFX_PEER, false);
 	put_peer(fx, "live");
 	nfx_advance(fx, 6000);
 	nfx_send_generate(fx, 10, "a1", FG_CLASS_INTERACTIVE, 60000);
