--- a/lib/gateway/fg_gateway.c
+++ b/lib/gateway/fg_gateway.c
@@ -430,7 +430,8 @@
 		uv_close(handle, NULL);
 }
 
-/* Closes the tick, signals and listeners; connections stay open. */
+/* Closes the tick, signals, mesh socket and listeners; connections stay open.
+ */
 static void close_event_sources(struct fg_gateway *gw)
 {
 	close_handle((uv_handle_t *)&gw->tick, NULL);
@@ -455,7 +456,7 @@
 	if (gw->tx_channel != NULL)
 		fg_sync_stop(gw);
 	fg_fleet_free(gw->fleet);
-	uv_run(&gw->loop, UV_RUN_NOWAIT); /* ends closed connections */
+	uv_run(&gw->loop, UV_RUN_NOWAIT); /* frees closed connections */
 	fg_claims_free(gw->claims);
 	fg_peers_free(gw->peers);
 	fg_popularity_free(gw->popularity);
--- a/lib/gateway/fg_gateway.h
+++ b/lib/gateway/fg_gateway.h
@@ -19,9 +19,9 @@
 struct fg_gateway;
 
 /* Creates an instance and opens its sockets. Returns NULL and sets *error when
- * a socket cannot be opened. Takes ownership of `conf`. The settings file
- * `path` is read again on SIGHUP and when its content changes. `wire` must
- * outlive the instance. */
+ * a socket cannot be opened. Takes ownership of `conf`, also on failure. The
+ * settings file `path` is read again on SIGHUP and when its content changes.
+ * `wire` must outlive the instance. */
 struct fg_gateway *fg_gateway_new(struct fg_gwconf *conf, const char *path,
 				  const struct fg_wire_ops *wire,
 				  GError **error);
--- a/lib/gateway/fg_gateway_internal.h
+++ b/lib/gateway/fg_gateway_internal.h
@@ -196,7 +196,8 @@
 void fg_gwreq_clear_pending(struct fg_gwreq *r);
 
 /* Write one log line with the outcome of the request, its reason and its
- * timings. Times count from the arrival of the request; -1: not yet. */
+ * timings: fg_gwreq_log() at level warn, the other at level info. Times count
+ * from the arrival of the request; -1: not yet. */
 void fg_gwreq_log(const struct fg_gwreq *r, const char *event,
 		  const char *reason);
 void fg_gwreq_log_routine(const struct fg_gwreq *r, const char *event,
@@ -359,13 +360,14 @@
 void fg_sync_start(struct fg_gateway *gw);
 void fg_sync_stop(struct fg_gateway *gw);
 
-/* Follows the reader, and writes the own row and claims when they are due. */
+/* Follows the reader, and writes this instance's row and its claims when they
+ * are due. */
 void fg_sync_tick(struct fg_gateway *gw, fg_ms now);
 
 /* Writes the row that announces this instance. */
 void fg_sync_write_own_row(struct fg_gateway *gw);
 
-/* Reads from the store what the feed lacks, unless a call is in flight. */
+/* Reads from the store what the feed lacks, after any call in flight. */
 void fg_sync_read_store(struct fg_feed *f);
 
 /* Applies rows that a neighbour served. */
@@ -376,7 +378,8 @@
 void fg_sync_mark_confirmed(struct fg_feed *f, fg_ms when);
 
 /* Applies a row of the feed's table. Returns true when neighbours need the
- * row; they need no registry entry that only lists other loaded adapters. */
+ * row. They do not need a registry entry in which only the list of adapters
+ * changed. */
 bool fg_sync_apply_row(struct fg_feed *f, const struct fg_store_row *row,
 		       fg_ms now);
 
@@ -410,7 +413,8 @@
 void fg_orders_refresh(struct fg_gateway *gw, fg_ms now);
 
 /* Requests a load of the adapter at `ep`, here or from its owner. Returns the
- * state of the adapter there; FG_SLOT_PENDING while the owner was asked. */
+ * state of the adapter there: FG_SLOT_PENDING also when another instance is the
+ * owner and was asked, FG_SLOT_FULL also when no owner is known. */
 enum fg_slot_state fg_orders_request_load(struct fg_gateway *gw,
 					  struct fg_fleet_ep *ep,
 					  const char *model,
@@ -439,7 +443,7 @@
 /* A crash that is still repeated in heartbeats. */
 struct fg_crash_notice {
 	fg_mesh_crash crash;
-	uint32_t left; /* heartbeats that still carry it */
+	uint32_t left; /* heartbeats to other regions until it is dropped */
 };
 
 /* Opens the UDP socket; returns 0 or a libuv error. */
@@ -524,8 +528,8 @@
 	struct fg_claim_write claiming[FG_CLAIM_BATCH_MAX]; /* last claims */
 	uint32_t n_claiming;
 	fg_ms own_table_known_at; /* first complete read; 0: none */
-	bool claims_current; /* the own table was read since the process was
-				last paused; orders and claims require it */
+	bool claims_current; /* the instances' table was read since the process
+				was last paused; orders and claims require it */
 	fg_ms next_tx_at;    /* earliest time of the next transaction */
 
 	struct fg_routes *routes;  /* NULL before the first configuration */
@@ -546,7 +550,7 @@
 	uint32_t heartbeat_seq;
 	fg_ms near_heartbeat_at; /* last one to this region */
 	fg_ms far_heartbeat_at;	 /* last one to other regions */
-	bool heartbeat_due;	 /* something changed since */
+	bool heartbeat_due;	 /* something changed since the last one */
 	GArray *crashes;	 /* struct fg_crash_notice */
 
 	uv_timer_t tick;
--- a/lib/gateway/fg_gw_caller.c
+++ b/lib/gateway/fg_gw_caller.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* Limits while no configuration is known. */
+/* Limits while no configuration is known; the sizes also where it sets none. */
 #define HEAD_MAX_BYTES 16384
 #define BODY_MAX_BYTES (4 * 1024 * 1024)
 #define HEAD_TIMEOUT_MS 3000
--- a/lib/gateway/fg_gw_mesh.c
+++ b/lib/gateway/fg_gw_mesh.c
@@ -16,7 +16,8 @@
 #define HELD_MAX 12
 #define CRASHES_MAX 16
 #define USES_MAX 40
-/* Number of heartbeats that carry a crash, since each may be lost. */
+/* Number of heartbeats to other regions that carry a crash, since each may be
+ * lost. Those to this region carry it for the same time. */
 #define CRASH_REPEATS 3
 
 /* ---- Sending ---- */
--- a/lib/gateway/fg_gw_orders.c
+++ b/lib/gateway/fg_gw_orders.c
@@ -3,15 +3,15 @@
 
 #include <string.h>
 
-/* An order without an answer for this long may still act later. Engines answer
- * at once and a round trip between regions takes 24 ms; a longer timeout would
- * delay all other messages to the engine. */
+/* An order without an answer for this long counts as unknown and may still take
+ * effect. Engines answer at once and a round trip between regions takes 24 ms;
+ * a longer timeout would delay all other messages to the engine. */
 #define ORDER_TIMEOUT_MS 300
 #define REPORT_TIMEOUT_MS 800
 /* Concurrent loads at one engine; the engines enforce the same limit. */
 #define LOADS_MAX 4
 /* Adapters that may wait for a slot. A busy engine frees a slot about every
- * 150 ms, so that the last one is still loaded within the target latency of its
+ * 150 ms, so the last one is still loaded within the target latency of its
  * request. */
 #define QUEUE_MAX 6
 /* A requested load is dropped when it was not requested again for this long. */
@@ -36,7 +36,7 @@
 }
 
 /* Number of loads from the weight store that this instance has in progress;
- * *waiting is the number that wait here to begin. */
+ * *waiting is the number of those that are queued here. */
 static uint32_t count_fetches(const struct fg_gateway *gw, uint32_t *waiting)
 {
 	const GPtrArray *all = fg_fleet_all(gw->fleet);
--- a/lib/gateway/fg_gw_own.c
+++ b/lib/gateway/fg_gw_own.c
@@ -1,7 +1,8 @@
 /* Rows that this instance writes: its own row, and its claims of engines. */
 #include "gateway/fg_gateway_internal.h"
 
-/* A transaction takes 5 ms; after this its result counts as unknown. */
+/* A transaction takes 5 ms; after this timeout its result counts as
+ * unknown. */
 #define TX_TIMEOUT_MS 1500
 /* Pause between two transactions, which lets claims accumulate. */
 #define TX_GAP_MS 250
--- a/lib/gateway/fg_gw_pages.c
+++ b/lib/gateway/fg_gw_pages.c
@@ -45,7 +45,7 @@
 }
 
 /* Reduces the array to a random sample of at most `max` entries. */
-static void sample(GPtrArray *all, guint max, struct fg_rand *rand)
+static void sample_addresses(GPtrArray *all, guint max, struct fg_rand *rand)
 {
 	for (guint i = 0; i < all->len && i < max; i++) {
 		guint k = i + (guint)fg_rand_below(rand, all->len - i);
@@ -71,7 +71,7 @@
 		g_ptr_array_unref(found);
 		found = serving_addresses(gw, NULL, now);
 	}
-	sample(found, ADDRESSES_MAX, &gw->rand);
+	sample_addresses(found, ADDRESSES_MAX, &gw->rand);
 	gw->wire->lookup_write(body, (const char *const *)found->pdata,
 			       found->len, gw->conf->lookup_ttl_s);
 	if (found->len == 0)
--- a/lib/gateway/fg_gw_request.c
+++ b/lib/gateway/fg_gw_request.c
@@ -7,14 +7,14 @@
 #define DEFAULT_TIMEOUT_MS 30000
 /* Shortest Retry-After; loads finish and short queues drain within it. */
 #define RETRY_MIN_MS 50
-/* Sends of one request, including those that did not run. */
+/* Maximum sends of one request, including those that did not run. */
 #define SENDS_MAX 6
 /* Urgency of a route of priority 0. The engines' default is 5, which is that of
  * priority 1. */
 #define URGENCY_BASE 4
 #define URGENCY_MAX 9
 /* While calls to the store fail, the configuration counts as current for this
- * long after its last answer. */
+ * long after the store's last answer. */
 #define CONFIG_STALE_MS 3000
 
 uint32_t fg_gwreq_time_left_ms(const struct fg_gwreq *r, fg_ms now)
--- a/lib/gateway/fg_gw_rows.c
+++ b/lib/gateway/fg_gw_rows.c
@@ -105,8 +105,8 @@
 	fg_ep_set_resident(ep, now, held, n);
 }
 
-/* Does the new entry differ from the known one in nothing but its list of
- * adapters? */
+/* Returns whether the new entry differs from the known one only in its list of
+ * adapters. */
 static bool differs_in_resident_only(const struct fg_fleet_ep *ep,
 				     const struct fg_ep_facts *facts)
 {
--- a/lib/gateway/fg_gw_sync.c
+++ b/lib/gateway/fg_gw_sync.c
@@ -18,12 +18,12 @@
  * its feed is read again at once. This is longer than CONFIG_GAP_MS. */
 #define BEHIND_MS 700
 /* Minimum time between two calls of a feed. Each call has a cost, and changes
- * come in bursts, which in the own table grow with the number of instances. The
- * registry's gap is a part of drain_ms, the time within which a leaving
- * endpoint must get no more requests; the rest is for the answer to arrive. The
- * registry's answers also prove to neighbours that the store is reachable, so
- * that the feed gets one at least every REGISTRY_AGE_PERCENT of drain_ms, even
- * without a change. */
+ * come in bursts, which in the instances' table grow with the number of
+ * instances. The registry's gap is a part of drain_ms, the time within which a
+ * leaving endpoint must get no more requests; the rest is for the answer to
+ * arrive. The registry's answers also prove to neighbours that the store is
+ * reachable, so that the feed gets one at least every REGISTRY_AGE_PERCENT of
+ * drain_ms, even without a change. */
 #define CONFIG_GAP_MS 400
 #define OWN_GAP_MS 300
 #define OWN_GAP_MS_PER_PEER 10
--- a/lib/gateway/fg_gwconf.h
+++ b/lib/gateway/fg_gwconf.h
@@ -36,7 +36,7 @@
 	char *ready;	 /* address of the readiness check */
 	char *directory; /* address of the address lookup */
 	char *mesh;	 /* UDP address for other instances */
-	char *metrics;	 /* address of /metrics and /state */
+	char *metrics;	 /* address of /metrics and /state, or NULL */
 	char *store;	 /* address of the platform's store */
 	enum fg_log_level log_level;
 	struct fg_gwconf_dc *dcs;
