--- a/lib/ledger/fg_ledger.h
+++ b/lib/ledger/fg_ledger.h
@@ -83,9 +83,10 @@
 				uint64_t seed);
 void fg_ledger_free(struct fg_ledger *l);
 
-/* `is_dead` tells whether an instance is dead. It is called when a row started
- * by another instance is found. A repeat of a filing that a dead instance
- * started is answered with ENDPOINT_LOST instead of IN_PROGRESS. */
+/* `is_dead` tells whether an instance is dead. It is called with the
+ * instance that wrote a started row. A repeat of a filing that a dead instance
+ * started, or this one without having it in progress, is answered with
+ * ENDPOINT_LOST instead of IN_PROGRESS. */
 void fg_ledger_set_is_dead(struct fg_ledger *l,
 			   bool (*is_dead)(void *arg, uint64_t inst),
 			   void *arg);
@@ -96,11 +97,14 @@
 void fg_ledger_set_wall_offset(struct fg_ledger *l, int64_t wall_minus_now_ms);
 
 /*
- * A filing arrived. `id` is unique in this process. The filing ends in DISPATCH
- * or ANSWER. At most one filing per (caller, key) is in progress on this
- * instance. A second one is answered with UNKNOWN and IN_PROGRESS, or with
- * NOT_RUN and KEY_REUSED if its body hash differs. IN_PROGRESS is never
- * combined with NOT_RUN, since the first filing may be running.
+ * A filing arrived. `id` is unique in this process. DISPATCH or ANSWER is
+ * emitted, now or in a later call. At most one filing per (caller, key) is in
+ * progress on this instance. A second one is answered with NOT_RUN and
+ * KEY_REUSED if its body hash differs. Otherwise it is answered with the
+ * outcome while that is being stored, with NOT_RUN and LEDGER_DOWN once the
+ * first filing can no longer run, and else with UNKNOWN and IN_PROGRESS.
+ * IN_PROGRESS is never combined with NOT_RUN, since the first filing may be
+ * running.
  */
 void fg_ledger_start(struct fg_ledger *l, fg_ms now, uint64_t id,
 		     const char *caller, const char *key, uint64_t body_hash,
@@ -137,9 +141,10 @@
 fg_ms fg_ledger_next_tick(const struct fg_ledger *l);
 
 /*
- * Reads one part of the rows and deletes up to FG_TXN_MAX of them that are
- * retention_s older than the newest one. One part every few seconds per region
- * is enough. A key is protected against a second run until its row is deleted.
+ * Reads one part of the rows and deletes up to FG_TXN_MAX of them whose
+ * timestamp is retention_s older than both the wall clock and the newest
+ * timestamp read. One part every few seconds per region is enough. A key is
+ * protected against a second run until its row is deleted.
  */
 void fg_ledger_sweep(struct fg_ledger *l, fg_ms now, fg_ledger_emit emit,
 		     void *arg);
--- a/lib/ledger/fg_ledger_decide.c
+++ b/lib/ledger/fg_ledger_decide.c
@@ -235,8 +235,9 @@
 }
 
 /* Answers from a row that another start left in state started. A dead instance
- * cannot finish the filing. An instance that was only paused may still record
- * the outcome, which a later repeat of the key then finds. */
+ * cannot finish the filing, nor can this one, which no longer has it. An
+ * instance that was only paused may still record the outcome, which a later
+ * repeat of the key then finds. */
 static void answer_from_started_row(struct fg_ledger *l, struct filing *f,
 				    uint64_t by)
 {
