--- a/lib/admit/fg_suspect.c
+++ b/lib/admit/fg_suspect.c
@@ -310,8 +310,8 @@
 
 /* ---- Events ---- */
 
-/* Eviction order: entries with a single death, which are not refused yet, then
- * the least recently updated. */
+/* Entries with a single death are evicted first, since they are not refused
+ * yet, and among equals the least recently updated. */
 static bool is_evicted_before(const struct entry *a, const struct entry *b)
 {
 	bool recurred_a = count_deaths(a) > 1;
--- a/lib/balance/fg_balance.c
+++ b/lib/balance/fg_balance.c
@@ -9,7 +9,7 @@
  * only when there is no other. */
 #define EJECTED_COST_MS 3000
 #define AVOIDED_COST_MS 6000
-/* Cost of an endpoint that fails half of its requests. */
+/* Cost of an error rate that is 0.5 above the mean. */
 #define ERROR_COST_MS 1200
 /* Cost per running request, which slows each step of its batch a little. */
 #define RUNNING_COST_MS 1.0
@@ -20,7 +20,8 @@
 /* Cost when a load is impossible at present: the engine has no known owner, or
  * does not hold the base model. */
 #define NO_LOAD_COST_MS 5000
-/* A load that was pending less than this ago still is, or has completed. */
+/* A load that was last reported as pending less than this ago is still pending
+ * or has completed. */
 #define PENDING_FRESH_MS 1500
 /* Random addition to each cost, so that instances spread their requests. */
 #define JITTER_MS 4.0
--- a/lib/claim/fg_claim.c
+++ b/lib/claim/fg_claim.c
@@ -17,7 +17,7 @@
 	uint64_t incarnation;	 /* of the owner; 0: no row */
 	uint64_t version;	 /* of the row */
 	uint64_t fenced_version; /* its fence was refused by the engine */
-	fg_ms lost_at;		 /* by this instance; 0: never */
+	fg_ms lost_at;		 /* when this instance lost it; 0: never */
 	bool seen;		 /* applied since the full read began */
 };
 
@@ -158,7 +158,7 @@
 	return NULL;
 }
 
-/* Should this instance take the engine over? */
+/* Returns whether this instance should take the engine over. */
 static bool should_claim(const struct claim *claim, fg_ms now,
 			 const struct fg_fleet_ep *ep,
 			 const struct fg_claim_candidate *live, uint32_t n_live)
--- a/lib/claim/fg_claim.h
+++ b/lib/claim/fg_claim.h
@@ -45,8 +45,8 @@
 struct fg_claims *fg_claims_new(uint64_t self_incarnation);
 void fg_claims_free(struct fg_claims *c);
 
-/* Applies a row that was read. `value` is NULL for a removed row. A row older
- * than the known one is ignored. */
+/* Applies a row that was read. `value` is NULL for a removed row, which is
+ * always applied. Another row that is older than the known one is ignored. */
 void fg_claims_apply_row(struct fg_claims *c, fg_ms now,
 			 const char *endpoint_id, const char *value,
 			 uint64_t version);
--- a/lib/fleet/fg_fleet.h
+++ b/lib/fleet/fg_fleet.h
@@ -29,7 +29,7 @@
 #define FG_FLEET_RESIDENT_MAX 32
 
 /* Time that endpoints have to write their entries again after an outage of the
- * registry. The platform's pages state about two seconds. */
+ * registry. The platform's documentation states about two seconds. */
 #define FG_FLEET_LAPSE_GRACE_MS 2200
 
 /* An adapter of a model, or the model itself when `adapter` is empty. */
@@ -45,7 +45,7 @@
 	char service[FG_FLEET_NAME_BYTES];
 	char address[FG_FLEET_ADDR_BYTES];
 	char dc[FG_FLEET_NAME_BYTES];
-	uint32_t slots;
+	uint32_t slots; /* concurrent requests */
 	bool draining;
 	uint64_t born; /* start time by its own clock; 0: unknown */
 	struct fg_ep_resident resident[FG_FLEET_RESIDENT_MAX];
@@ -91,7 +91,7 @@
 	struct fg_ep_adapter adapters[FG_EP_ADAPTERS_MAX];
 	uint32_t n_adapters;
 	/* Reported by the owner, the instance that orders its loads. */
-	uint64_t owner;		/* 0: none known */
+	uint64_t owner;		/* its incarnation; 0: none known */
 	fg_ms resident_at;	/* last report of its resident adapters */
 	uint32_t spare_age_ms;	/* idle time of the next adapter to evict */
 	uint32_t queue;		/* load requests queued at the owner */
--- a/lib/fleet/fg_health.c
+++ b/lib/fleet/fg_health.c
@@ -1,6 +1,6 @@
 #include "fleet/fg_health.h"
 
-/* One failure can be a single broken connection, two in a row rarely are. */
+/* One failure can be a single broken connection; two in a row rarely are. */
 #define FAILURES_TO_EJECT 2
 /* An endpoint restarts within a few seconds. The first retry comes earlier. */
 #define EJECT_MIN_MS 500
--- a/lib/fleet/fg_health.h
+++ b/lib/fleet/fg_health.h
@@ -13,7 +13,8 @@
 
 #include "fleet/fg_fleet.h"
 
-/* The endpoint answered. `error`: the answer reports a fault of its own. */
+/* The endpoint answered. `error`: the answer reports a fault of the
+ * endpoint. */
 void fg_health_record_answer(struct fg_fleet_ep *ep, fg_ms now, bool error);
 
 /* The endpoint could not be reached, closed the connection early or sent an
--- a/lib/slots/fg_loadgate.c
+++ b/lib/slots/fg_loadgate.c
@@ -9,7 +9,7 @@
 #define WINDOW_INCREASE 0.5
 #define WINDOW_DECREASE 0.75
 /* The end of a load is noticed some tens of ms late. A longer delay means that
- * the weight store queues. */
+ * loads queue at the weight store. */
 #define SLOW_LOAD_FACTOR 1.35
 /* Weight of the newest load in the moving average. */
 #define MEAN_GAIN 0.2
--- a/lib/slots/fg_slots.h
+++ b/lib/slots/fg_slots.h
@@ -57,7 +57,7 @@
 	FG_SLOT_ABSENT = 0,
 	FG_SLOT_PENDING = 1, /* queued or loading */
 	FG_SLOT_RESIDENT = 2,
-	FG_SLOT_FULL = 3, /* absent, and the queue accepts no more */
+	FG_SLOT_FULL = 3, /* absent, and a load cannot be queued */
 };
 
 /*
@@ -131,7 +131,8 @@
 uint32_t fg_slots_queue_len(const struct fg_slots *s);
 
 /* Returns how long the next adapter to evict has been unused. UINT32_MAX: a
- * slot is free. 0: no slot can be freed, or the engine is not ready. */
+ * slot is free that no queued load needs. 0: no slot can be freed, or the
+ * engine is not ready. */
 uint32_t fg_slots_spare_age_ms(const struct fg_slots *s, fg_ms now);
 
 /* Returns ABSENT, PENDING or RESIDENT. */
--- a/lib/slots/fg_slots_internal.h
+++ b/lib/slots/fg_slots_internal.h
@@ -53,8 +53,8 @@
 	bool synced;	  /* sequence and slots are current */
 	bool ever_synced; /* slots were current at some time */
 	fg_ms report_at;  /* earliest time of the next report */
-	/* After a conflict: a report that still shows the refused sequence is
-	 * older than the conflict and is ignored once. */
+	/* After a conflict: a report that still shows the refused sequence may
+	 * be older than the conflict and is ignored once. */
 	uint64_t refused_sequence;
 	bool has_refused;
 	struct fg_slot base;	/* the base model, which takes no slot */
