--- a/lib/member/fg_member.h
+++ b/lib/member/fg_member.h
@@ -26,10 +26,11 @@
  * An instance is DEAD when its lease row is gone. One of the region's live
  * instances deletes ("reaps") a lapsed row, after it
  *  - saw the lease lapse, and scanned all rows since,
- *  - received answers to pings that it sent after it saw the lapse, so that
- *    those that answered know that the platform is reachable. They must be so
- *    many of the region's instances that they overlap with any two thirds of
- *    the instances that the holder counted, and
+ *  - received answers to pings that it sent after it saw the lapse; these pings
+ *    tell the other instances that the platform is reachable. Enough of the
+ *    region's instances must answer that any two thirds of the instances that
+ *    the holder counted include one of them (ten leases after the lapse, more
+ *    than a third of the region's instances is enough), and
  *  - waited reachable_ms more.
  * When another instance already uses the inner address of a lapsed row, the
  * lapse alone is enough: the process that held the address has ended.
@@ -41,17 +42,18 @@
  *              its peers report, reached the platform within confirm_ms.
  *   OUTAGE     This instance holds a lease. As far as it knows, no instance has
  *              reached the platform since the lease ceased to be fresh. Within
- *              reachable_ms either two thirds of the region's instances, all of
- *              them CONFIRMED or in OUTAGE, or all instances whatever their
- *              standing answered a ping. The instance keeps acting on what it
- *              owns.
+ *              reachable_ms a ping was answered either by two thirds of the
+ *              region's instances, all of them CONFIRMED or in OUTAGE, or by
+ *              all of the region's instances, whatever their standing. The
+ *              instance keeps acting on what it owns.
  *   ISOLATED   Neither: no orders, no grants, no new work.
  * In a region of at most two instances, OUTAGE also needs two thirds of the
- * instances of all regions, and the instance that deletes a row may overlap
- * with either of the two quorums. In each case one of the instances that answer
- * a holder in OUTAGE has been reached by the instance that deletes the holder's
- * row, and tells the holder that the platform is reachable before the row is
- * deleted. docs/design/membership.md lists the cases that remain.
+ * instances of all regions, and for the deletion of a row it is enough that the
+ * answers overlap with one of the two quorums. In each case one of the
+ * instances that answer a holder in OUTAGE has also answered the instance that
+ * deletes the holder's row, and tells the holder that the platform is reachable
+ * before the row is deleted. docs/design/membership.md lists the cases that
+ * remain.
  */
 #ifndef FG_MEMBER_H
 #define FG_MEMBER_H
@@ -72,7 +74,8 @@
 };
 
 struct fg_member_conf {
-	/* Its kind is FG_LIST_ENTRY_INSTANCE; its id is set from its name. */
+	/* kind must be FG_LIST_ENTRY_INSTANCE; fg_member_new() derives id from
+	 * name. */
 	struct fg_list_entry self;
 	uint64_t boot; /* nonce of this run; no second run uses the same name */
 	uint32_t renew_ms; /* between renewals of the own lease */
@@ -82,7 +85,8 @@
 	uint32_t list_ms;  /* between reads of the platform's list; longer when
 			    * it is long, see FG_MEMBER_LIST_BYTES_PER_S */
 	uint32_t ping_ms;  /* between pings of one neighbour */
-	uint32_t suspect_ms;  /* without a pong this long: suspect */
+	uint32_t suspect_ms;  /* an instance becomes suspect after this
+			       * time without a pong */
 	uint32_t confirm_ms;  /* how long a contact with the platform counts */
 	uint32_t ping_fanout; /* neighbours pinged */
 
@@ -159,8 +163,8 @@
 		    void *arg);
 
 /* Takes the result of a TABLE action; the caller passes exactly one for each
- * and keeps res. Returns false, and does nothing, when the op id is not one of
- * this module. */
+ * and keeps ownership of res. Returns false, and does nothing, when the op id
+ * is not one of this module. */
 bool fg_member_on_table(struct fg_member *m, fg_ms now,
 			const struct fg_table_result *res, fg_member_emit emit,
 			void *arg);
@@ -172,20 +176,20 @@
 		       const struct fg_list_entry *list, size_t n,
 		       fg_member_emit emit, void *arg);
 
-/* Takes a message of instance `from`; the caller keeps msg. PING, PONG and
- * LEAVING messages are handled; any other one only updates heard_at. A message
- * of an instance whose lease row is not known causes a read. */
+/* Takes a message from instance `from`; the caller keeps msg. PING, PONG and
+ * LEAVING messages are handled; any other message only updates heard_at. A
+ * message from an instance whose lease row is not known causes a read. */
 void fg_member_on_msg(struct fg_member *m, fg_ms now, uint64_t from,
 		      const fg_msg *msg, fg_member_emit emit, void *arg);
 
-/* Sets what pings and pongs say of the own configuration: its revision, and the
- * time since it was last confirmed, as of the last tick. */
+/* Sets what pings and pongs report about the own configuration: its revision,
+ * and the time since it was last confirmed, as of the last tick. */
 void fg_member_set_revision(struct fg_member *m, uint64_t revision,
 			    uint32_t confirm_age_ms);
 
 /* Schedules a scan of all lease rows for the next tick, however recent the last
- * scan is. After a change of configuration the caller must not miss an instance
- * that joined before the change. */
+ * scan is. The caller needs it after a change of configuration, so as not to
+ * miss an instance that joined before the change. */
 void fg_member_request_scan(struct fg_member *m, fg_ms now);
 
 /* Returns when the last successful scan of all lease rows was sent; 0 before
@@ -254,7 +258,7 @@
 size_t fg_member_list_live(const struct fg_member *m, const char *region,
 			   uint64_t *ids, size_t max);
 
-/* Like fg_member_list_live(), with those that are LEAVING: they still have
+/* Like fg_member_list_live(), but includes LEAVING instances: they still have
  * requests in progress and grants in use. */
 size_t fg_member_list_present(const struct fg_member *m, const char *region,
 			      uint64_t *ids, size_t max);
--- a/lib/member/fg_member_internal.h
+++ b/lib/member/fg_member_internal.h
@@ -27,13 +27,13 @@
 	bool leaving;
 	uint32_t region_size; /* instances in the region, as the holder counts
 			       * them */
-	uint32_t total_size;  /* likewise of all regions */
+	uint32_t total_size;  /* instances in all regions */
 	struct fg_list_entry info; /* id and name come from the key */
 };
 
 /* Another instance. */
 struct fg_peer_entry {
-	struct fg_peer_view view; /* first: fg_member_find() returns it */
+	struct fg_peer_view view; /* returned by fg_member_find() */
 	uint64_t ring_pos;	  /* position on the hash ring */
 
 	/* Lease row. */
@@ -44,15 +44,15 @@
 	fg_ms version_seen_at; /* when row_version was first seen */
 	fg_ms read_at;	       /* when the last read that covered it was sent */
 	fg_ms absent_at; /* when a read that found no row was sent; 0 never */
-	fg_ms lapsed_at; /* when the read showing the lapse was sent; 0 no */
-	fg_ms reap_quorum_at; /* when the quorum for deletion was met; 0 no */
+	fg_ms lapsed_at; /* when the read showing the lapse was sent; 0: none */
+	fg_ms reap_quorum_at; /* when the deletion quorum was met; 0: none */
 	bool address_reused;  /* another instance runs at its address */
 	uint64_t scan_no;     /* the latest scan when the row was last read */
 	bool op_in_flight;    /* a GET or DELETE of the row has no result yet */
 
 	/* Pings. */
 	fg_ms reached_at;	/* when the newest answered ping was sent */
-	fg_ms acting_at;	/* likewise, if the instance may act */
+	fg_ms acting_at;	/* reached_at, of answers with may_act only */
 	fg_ms pinged_at;	/* last ping */
 	fg_ms unanswered_since; /* first ping since the last answer; 0 none */
 	fg_ms hint_sent_at;	/* last hint about it */
@@ -137,11 +137,11 @@
 
 	/* When the platform was last reached, as far as known; 0 never. */
 	fg_ms own_contact_at;	  /* by this instance */
-	fg_ms peer_contact_at;	  /* by a peer, as the peer says */
-	fg_ms relayed_contact_at; /* by others, as a peer says */
+	fg_ms peer_contact_at;	  /* by a peer, according to that peer */
+	fg_ms relayed_contact_at; /* by others, according to a peer */
 
-	fg_ms next_ping_at;	   /* of the neighbours */
-	fg_ms next_quorum_ping_at; /* of a quorum */
+	fg_ms next_ping_at;	   /* next pings of neighbours */
+	fg_ms next_quorum_ping_at; /* next pings for a quorum */
 	uint32_t quorum_ping_round;
 	enum fg_standing standing; /* last emitted */
 
@@ -180,7 +180,7 @@
 			       const struct fg_pending_op *pending,
 			       const struct fg_table_result *res);
 bool fg_member_is_lease_fresh(const struct fg_member *m, fg_ms now);
-/* Returns until when the own lease is fresh without another renewal. */
+/* Returns when the own lease ceases to be fresh unless it is renewed. */
 fg_ms fg_member_lease_end(const struct fg_member *m);
 
 /* ---- fg_member_peers.c ---- */
@@ -198,10 +198,11 @@
 void fg_member_on_delete_result(struct fg_member *m, fg_ms now,
 				const struct fg_pending_op *pending,
 				const struct fg_table_result *res);
-/* Returns true while this instance has the turn to delete a lapsed row. */
+/* Returns true while it is this instance's turn to delete a lapsed row. */
 bool fg_member_is_reaping(const struct fg_member *m, fg_ms now);
-/* Likewise, of a holder that counted a small region and whose address no other
- * instance uses: the instances of all regions may have to be pinged. */
+/* Returns true while it is this instance's turn to delete a lapsed row whose
+ * holder counted a small region and whose address no other instance uses. The
+ * instances of all regions may then have to be pinged. */
 bool fg_member_is_reaping_small(const struct fg_member *m, fg_ms now);
 
 /* ---- fg_member_ping.c ---- */
@@ -218,18 +219,17 @@
 struct fg_tally {
 	uint32_t size;	  /* without those whose address is reused */
 	uint32_t reached; /* answered a ping sent after a given time */
-	uint32_t acting;  /* likewise, and may act themselves */
+	uint32_t acting;  /* those of `reached` that may act */
 };
 
 struct fg_tally fg_member_tally_region(const struct fg_member *m, fg_ms since);
 struct fg_tally fg_member_tally_all(const struct fg_member *m, fg_ms since);
 /* Returns how many of n instances must answer for the standing OUTAGE. */
 uint32_t fg_member_outage_quorum(uint32_t n);
-/* Returns true for a region so small that an instance that alone is cut off
- * cannot tell; the instances of all regions are pinged too.
- */
+/* Returns true for a region so small that an instance cannot tell whether it
+ * alone is cut off; the instances of all regions are then pinged too. */
 bool fg_member_is_small_region(uint32_t region_size);
-/* Returns the standing that holds without regard to pauses. */
+/* Returns the standing, ignoring pauses of the process. */
 enum fg_standing fg_member_base_standing(const struct fg_member *m, fg_ms now);
 /* Emits the standing when it has changed. */
 void fg_member_update_standing(struct fg_member *m, fg_ms now);
--- a/lib/member/fg_member_lease.c
+++ b/lib/member/fg_member_lease.c
@@ -77,9 +77,10 @@
 	submit_lease_op(m, now, op, &pending);
 }
 
-/* Up to this size, a row that omits a single instance may cost the survivors
- * the quorum to delete it; the early renewals that avoid this are few writes
- * there. Larger regions renew early when the row states less than 2/3. */
+/* Up to this size, a row that counts one instance too few may deny the
+ * survivors the quorum to delete it. Early renewals avoid this and cost few
+ * writes there. Above this size, the row is renewed early when it states less
+ * than 2/3 of the instances. */
 #define EXACT_SIZE_MAX 16
 
 static bool is_size_understated(uint32_t stated, uint32_t size)
--- a/lib/member/fg_member_peers.c
+++ b/lib/member/fg_member_peers.c
@@ -3,7 +3,7 @@
 
 #include "member/fg_member_internal.h"
 
-#define REAP_RANK_MAX 6 /* all candidates of a higher rank wait as long */
+#define REAP_RANK_MAX 6		 /* higher ranks wait as long as this one */
 #define REDUCED_QUORUM_LEASES 10 /* lease_ms after the lapse */
 #define DEAD_ENTRY_TTL_MS (600 * 1000)
 
@@ -73,7 +73,7 @@
 	e->lapsed_at = 0;
 	e->reap_quorum_at = 0;
 	e->leaving = lease->leaving;
-	/* A renewal ends a suspicion by lease; unanswered pings keep it. */
+	/* A renewal ends the suspicion, unless pings are unanswered. */
 	if (e->unanswered == 0)
 		e->suspect = false;
 	fg_member_refresh_state(m, e);
@@ -142,9 +142,9 @@
 /* ---- Reaping of lapsed rows ---- */
 
 /*
- * Returns true when an instance other than e has its address and renewed the
- * own lease after the lease of e lapsed. Two processes cannot listen at one
- * address, so that the process of e has ended.
+ * Returns true when an instance other than e has the address of e and renewed
+ * its lease after the lease of e lapsed. Two processes cannot listen at one
+ * address, so the process of e has ended.
  */
 static bool is_address_reused(const struct fg_member *m,
 			      const struct fg_peer_entry *e)
@@ -215,19 +215,21 @@
 }
 
 /* Returns true when at least one instance that answered belongs to any quorum
- * that the holder may have for OUTAGE: two thirds of the instances that its row
- * states, all of which a scan shows. */
+ * that the holder may have for OUTAGE: two thirds of as many instances as its
+ * row states, all of them among the instances that the scan showed. */
 static bool overlaps_outage_quorum(struct fg_tally t, uint32_t stated)
 {
 	return t.reached + fg_member_outage_quorum(stated) > t.size;
 }
 
 /*
- * Counts answers to pings sent strictly after the read that showed the lapse.
- * A holder in a small region needs the quorum of the region and that of all
- * regions, so that an overlap with one of them is enough. After
- * REDUCED_QUORUM_LEASES leases more than a third of the instances is enough:
- * when a whole region has been replaced, the old instances cannot answer.
+ * Returns true when enough instances answered a ping that was sent strictly
+ * after the read that showed the lapse.
+ *
+ * A holder in a small region needs both the quorum of the region and that of
+ * all regions, so an overlap with one of them is enough. REDUCED_QUORUM_LEASES
+ * leases after the lapse, more than a third of the instances is enough: when a
+ * whole region has been replaced, the old instances cannot answer.
  */
 static bool has_reap_quorum(const struct fg_member *m, fg_ms now,
 			    const struct fg_peer_entry *e)
@@ -261,7 +263,8 @@
 	fg_member_submit(m, now, op, &pending);
 }
 
-/* Takes the next of the steps that fg_member.h lists under "Liveness". */
+/* Takes the next step towards the deletion of the lapsed row of e; fg_member.h
+ * lists the steps under "Liveness". */
 static void reap_row(struct fg_member *m, fg_ms now, struct fg_peer_entry *e)
 {
 	if (e->address_reused) {
--- a/lib/member/fg_member_ping.c
+++ b/lib/member/fg_member_ping.c
@@ -1,7 +1,7 @@
 /*
- * Pings. Each ping_ms the neighbours on the ring and a few random instances are
- * pinged. While the own lease is in doubt or a lapsed row is to be deleted, as
- * many as a quorum needs are pinged each quorum_ping_ms.
+ * Pings. Every ping_ms the neighbours on the ring and a few random instances
+ * are pinged. While the own lease is in doubt or a lapsed row is to be deleted,
+ * as many instances as a quorum needs are pinged every quorum_ping_ms.
  */
 #include "member/fg_member_internal.h"
 
@@ -240,8 +240,8 @@
 
 /* ---- Receiving ---- */
 
-/* Records when a peer, or others as the peer says, last reached the platform.
- * The ages in p count from `at`. */
+/* Records when a peer, and others according to it, last reached the platform.
+ * The ages in p are relative to `at`. */
 static void record_contact(struct fg_member *m, fg_ms at, const fg_ping *p)
 {
 	if (p->platform_age_ms != UINT32_MAX)
@@ -263,8 +263,8 @@
 	}
 }
 
-/* Ignores an answer that took long: its contents may be older than the margin
- * between own_lease_ms and lease_ms allows. */
+/* Ignores an answer that took more than half of the margin between own_lease_ms
+ * and lease_ms: its contents may be too old. */
 static void on_pong(struct fg_member *m, fg_ms now, struct fg_peer_entry *e,
 		    const fg_ping *p)
 {
@@ -284,8 +284,8 @@
 		fg_member_set_suspect(m, now, e, false);
 }
 
-/* Looks for the row of a sender without a known one: the sender is new, or has
- * taken its lease again. */
+/* Looks for the lease row of a sender whose row is not known: the sender is
+ * new, or has taken its lease again. */
 static void find_missing_row(struct fg_member *m, fg_ms now,
 			     struct fg_peer_entry *e)
 {
--- a/lib/member/fg_member_standing.c
+++ b/lib/member/fg_member_standing.c
@@ -57,8 +57,8 @@
  * an instance that deletes the row can tell how many answers overlap with it.
  * Only instances that may act count: the region may have shrunk without this
  * instance's knowledge, and an instance whose lease was deleted no longer acts.
- * When too few act, all instances must answer; the one that deleted a lease is
- * then among them.
+ * If too few of those answer, all instances must; the instance that deleted the
+ * lease is then among them.
  */
 static bool meets_outage_quorum(struct fg_tally t, uint32_t stated)
 {
