--- a/lib/node/fg_node.c
+++ b/lib/node/fg_node.c
@@ -4,7 +4,8 @@
 #include <string.h>
 
 #define ANNOUNCE_INTERVAL_MS 1000
-#define SWEEP_INTERVAL_MS 5000 /* a region sweeps one part of the ledger */
+/* In each region, one part of the ledger is swept at this interval. */
+#define SWEEP_INTERVAL_MS 5000
 #define PEERS_MAX 1024
 
 void fg_node_conf_defaults(struct fg_node_conf *conf)
--- a/lib/node/fg_node_eps.c
+++ b/lib/node/fg_node_eps.c
@@ -40,7 +40,7 @@
 			 ep->leaving);
 }
 
-void fg_ep_set_leaving(struct fg_node *n, struct fg_ep *ep, bool tell)
+void fg_ep_set_leaving(struct fg_node *n, struct fg_ep *ep, bool notify_peers)
 {
 	if (ep->leaving || n->conf.switches.no_leaving)
 		return;
@@ -50,7 +50,7 @@
 		fg_owned_on_leaving(n, ep->owned);
 	fg_node_emit_event(n, "ep_leaving",
 			   json_pack("{s:s}", "ep", ep->info.name));
-	if (tell)
+	if (notify_peers)
 		broadcast_leaving(n, ep->id);
 }
 
--- a/lib/node/fg_node_internal.h
+++ b/lib/node/fg_node_internal.h
@@ -94,7 +94,7 @@
 	uint32_t grant_asks; /* grant requests so far; part of their id */
 	uint64_t ep;	     /* GRANT and RUNNING */
 	uint64_t grant;	     /* 0: none held */
-	uint64_t owner;	     /* that the grant was requested from */
+	uint64_t owner;	     /* the owner that was asked for the grant */
 	uint64_t fence;
 	uint64_t avoid[FG_AVOID_MAX]; /* endpoints, oldest first */
 	uint32_t n_avoid;
@@ -253,8 +253,9 @@
 /* Returns NULL if the endpoint is not known. */
 struct fg_ep *fg_ep_find(struct fg_node *n, uint64_t id);
 
-/* Marks the endpoint as leaving; with `tell`, informs the region's peers. */
-void fg_ep_set_leaving(struct fg_node *n, struct fg_ep *ep, bool tell);
+/* Marks the endpoint as leaving; `notify_peers`: also tells the region's peers.
+ */
+void fg_ep_set_leaving(struct fg_node *n, struct fg_ep *ep, bool notify_peers);
 
 /* Adds the endpoint if it is new, and notes that the platform's list shows
  * it. */
@@ -329,8 +330,8 @@
 
 /* ---- fg_node_wait.c: requests whose adapter is not resident ---- */
 
-/* Lets the request wait for its adapter. Sends a NEED if the last one no longer
- * says enough. */
+/* Lets the request wait for its adapter. Sends a NEED if the last one does not
+ * cover the request. */
 void fg_wait_add(struct fg_node *n, struct fg_req *r);
 
 /* Does nothing if the request is not waiting for its adapter. */
@@ -339,8 +340,8 @@
 /* The adapter became resident: its requests are routed again. */
 void fg_wait_on_resident(struct fg_node *n, fg_av av);
 
-/* The broker refused the NEED: requests due no later than the NEED said are
- * answered, the others are announced again. */
+/* The broker refused the NEED: requests due no later than the NEED stated
+ * are answered, the others are announced again. */
 void fg_wait_on_refused(struct fg_node *n, fg_av av);
 
 /* Repeats NEEDs that are due. */
@@ -424,7 +425,7 @@
  * Sets the time of the next repeat. */
 void fg_owned_repeat_resident(struct fg_node *n, struct fg_owned_engine *owned);
 
-/* Takes note whether the last read of the engine's state failed. */
+/* Records whether the last read of the engine's state failed. */
 void fg_owned_note_silence(struct fg_node *n, struct fg_owned_engine *owned,
 			   bool silent);
 
--- a/lib/node/fg_node_route.c
+++ b/lib/node/fg_node_route.c
@@ -5,7 +5,7 @@
 
 #define RETRY_AFTER_MS 1000
 #define BATCH_UNKNOWN UINT32_MAX /* only the owner knows the batch size */
-#define HELD_ASK_REPEAT_MS 3000	 /* added while the owner holds the request */
+#define HELD_ASK_REPEAT_MS 3000	 /* added to grant_repeat_ms while held */
 #define ROUTE_RETRY_MS 200
 #define GRANT_ASKS_MAX 20 /* per request */
 #define PRIORITY_DRAFT 10
--- a/lib/node/fg_node_stop.c
+++ b/lib/node/fg_node_stop.c
@@ -2,7 +2,7 @@
  * lease. */
 #include "node/fg_node_internal.h"
 
-/* A lease row that is not deleted by then is left to lapse. */
+/* A lease row that is not deleted within this time is left to lapse. */
 #define LEASE_RELEASE_MAX_MS 2000
 
 static bool is_drained(const struct fg_node *n)
--- a/lib/node/fg_node_wait.c
+++ b/lib/node/fg_node_wait.c
@@ -139,7 +139,7 @@
 	g_hash_table_remove(n->waiters, &w->key);
 }
 
-/* Requests that are due no later than the last NEED said. */
+/* Returns the requests due no later than the last NEED stated. */
 static GPtrArray *find_due_reqs(struct fg_node *n, const struct fg_waiters *w)
 {
 	GPtrArray *due = g_ptr_array_new();
