--- a/lib/place/fg_broker.c
+++ b/lib/place/fg_broker.c
@@ -16,9 +16,10 @@
 #define FAILED_EP_RETRY_MS 1000
 #define BACKOFF_MS 250 /* after the first failure; doubles with each one */
 #define BACKOFF_MAX_MS 4000
-/* Bounds the wait above a stall weight of 50, scaled by 100 - weight. */
+/* Above a stall weight of 50, the wait is limited to (100 - weight) percent of
+ * this. */
 #define MAX_WAIT_MS 40000
-#define HOLD_MAX_WAITING 8 /* this many drafts of a router are not held */
+#define HOLD_MAX_WAITING 8 /* a need of this many drafts is not held */
 #define MIN_WAIT_LOADS 8   /* a need may always wait for this many loads */
 
 struct fg_broker *fg_broker_new(const struct fg_broker_conf *conf,
--- a/lib/place/fg_broker_admit.c
+++ b/lib/place/fg_broker_admit.c
@@ -83,7 +83,7 @@
 		}
 		done = estimate_done_at(b, now, position, percent);
 		position++;
-		/* An entry over 1 s late would be late without `demand`. */
+		/* An entry over 1 s late is late even without `demand`. */
 		if (inserted && done > other->terms.due &&
 		    done <= other->terms.due + FG_MS_PER_S)
 			return false;
@@ -150,9 +150,9 @@
 	fg_broker_update_demand(b, demand);
 }
 
-static void refuse_hopeless(struct fg_broker *b, fg_ms now,
-			    struct fg_demand *demand, fg_broker_refuse refuse,
-			    void *arg)
+static void refuse_late_needs(struct fg_broker *b, fg_ms now,
+			      struct fg_demand *demand, fg_broker_refuse refuse,
+			      void *arg)
 {
 	for (guint i = demand->needs->len; i-- > 0;) {
 		const struct fg_router_need *need =
@@ -164,7 +164,7 @@
 	fg_broker_update_demand(b, demand);
 }
 
-static bool is_hopeless(const struct fg_broker *b, fg_ms now,
+static bool is_too_late(const struct fg_broker *b, fg_ms now,
 			const struct fg_demand *demand)
 {
 	if (now + b->conf.load_ms <= demand->terms.deadline)
@@ -193,9 +193,9 @@
 	if (!b->policy->refuses_needs)
 		return;
 	fg_broker_refill_tokens(b, now);
-	demands = fg_broker_collect_demands(b, now, is_hopeless);
+	demands = fg_broker_collect_demands(b, now, is_too_late);
 	for (guint i = 0; i < demands->len; i++)
-		refuse_hopeless(b, now, demands->pdata[i], refuse, arg);
+		refuse_late_needs(b, now, demands->pdata[i], refuse, arg);
 	g_ptr_array_free(demands, TRUE);
 	demands = fg_broker_collect_demands(b, now, has_unadmitted_need);
 	for (guint i = 0; i < demands->len; i++)
--- a/lib/place/fg_hold.c
+++ b/lib/place/fg_hold.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 
 #define MARGIN_MS 500 /* reserve for messages and for a refused grant */
-/* Share of the budget, in reserve for a service time that has grown. */
+/* Share of the budget kept in reserve, in case the service time has grown. */
 #define MARGIN_PERCENT 10
 
 uint32_t fg_hold_ms(const struct fg_preset *preset, uint32_t budget_ms,
--- a/lib/place/fg_place.h
+++ b/lib/place/fg_place.h
@@ -143,9 +143,10 @@
  * of its last need, and sends a new need for the others. Needs that were
  * admitted keep their position.
  *
- * A need is refused when it is new or has become tighter; later only if failed
- * loads made it impossible to meet. Call after needs came in and before each
- * fg_broker_tick().
+ * A need is refused when it is new or has become tighter and cannot be met. An
+ * admitted need is refused only when a load begun now would end too late, as
+ * after failed loads, and the adapter is neither resident nor being loaded.
+ * Call this function after needs have arrived and before each fg_broker_tick().
  */
 typedef void (*fg_broker_refuse)(void *arg, uint64_t to,
 				 const fg_place_rep *rep);
--- a/lib/place/fg_place_priv.h
+++ b/lib/place/fg_place_priv.h
@@ -161,7 +161,7 @@
 /* Stall weight from which on requests are spread over all endpoints; below,
  * they are packed on few endpoints. */
 #define FG_SPREAD_STALL_WEIGHT 50
-/* Packing prefers no endpoint that is at or above this utilization. */
+/* Packing does not prefer endpoints at or above this utilization. */
 #define FG_PACK_UTILIZATION_MAX 0.9
 
 extern const struct fg_policy fg_policy_gauge;
--- a/lib/place/fg_policy_gauge.c
+++ b/lib/place/fg_policy_gauge.c
@@ -9,7 +9,7 @@
 
 /* With less schedule slack than this, demands are loaded by due time. */
 #define SCHEDULE_MARGIN_MS 300
-#define INTERACTIVE_WEIGHT 4.0	 /* an interactive request, in drafts */
+#define INTERACTIVE_WEIGHT 4.0	 /* of an interactive request; draft: 1 */
 #define WAIT_PER_REQUEST_MS 2000 /* this wait counts as one more request */
 /* An adapter requested within this time is probably still in use. */
 #define RECENT_USE_MS 1000
