--- a/lib/config/fg_config.h
+++ b/lib/config/fg_config.h
@@ -302,8 +302,9 @@
 
 /*
  * Sets the live instances from lease rows whose read began at read_at. After
- * the first call a change is accepted only by a list whose read began after the
- * change was stored, since an instance may have joined in between.
+ * the first call, a change is accepted only once the list comes from a read
+ * that did not begin before the change was stored, since an instance may have
+ * joined in between.
  */
 void fg_confsync_set_live_at(struct fg_confsync *s, fg_ms read_at,
 			     const uint64_t *ids, size_t n);
--- a/lib/grant/fg_grant.h
+++ b/lib/grant/fg_grant.h
@@ -32,7 +32,7 @@
 	FG_GRANT_SLOT_EMPTY = 0,
 	FG_GRANT_SLOT_LOADING = 1,
 	FG_GRANT_SLOT_READY = 2,
-	/* An open order may change the slot, so it gives no grants. */
+	/* An open order may change the slot, so no grants are given on it. */
 	FG_GRANT_SLOT_TAINTED = 3,
 };
 
--- a/lib/grant/fg_grant_priv.h
+++ b/lib/grant/fg_grant_priv.h
@@ -15,7 +15,8 @@
 /* A holder cancels its request at the deadline; the pin stays this much longer
  * so that the cancellation reaches the engine first. */
 #define FG_EXPIRE_GRACE_MS 500
-/* A request sent by a holder that then died reaches the engine within this. */
+/* A request sent by a holder that then died reaches the engine within this
+ * time. */
 #define FG_ORPHAN_GRACE_MS 500
 /* Upper bound on the ended requests that are remembered. */
 #define FG_ENDED_MAX 8192
--- a/lib/grant/fg_grant_request.c
+++ b/lib/grant/fg_grant_request.c
@@ -62,7 +62,7 @@
 /* ---- Grants ---- */
 
 /* Routers need to know when the batch becomes almost full and when it has room
- * again. Smaller changes are not announced, to save messages to all of them. */
+ * again. Smaller changes are not announced, to save messages to all routers. */
 static void update_full(struct fg_grants *g)
 {
 	uint32_t full_at = (g->conf.batch * 7 + 7) / 8;
@@ -182,9 +182,9 @@
 }
 
 /*
- * Number of requests missing to half a batch, the size at which held requests
- * are started. One running request is not worth joining: each request that
- * joins prolongs the batch while its size stays little above one.
+ * Number of further requests that fill half a batch, the size at which held
+ * requests are started. It is not worth joining one running request: each
+ * request that joins prolongs the batch, and its size stays little above one.
  */
 static uint32_t count_missing_for_batch(const struct fg_grants *g)
 {
--- a/lib/owner/fg_owner_internal.h
+++ b/lib/owner/fg_owner_internal.h
@@ -65,8 +65,8 @@
 	fg_ms claimable_since; /* with random jitter; 0: not claimable */
 	uint64_t claim_fence;  /* CLAIMING: fence that the claim writes */
 
-	/* Owned keys: intents that the row shall hold. Others: those that it
-	 * holds. NULL when there are none. */
+	/* Owned key: the intents that its row is to hold. Other key: those that
+	 * its row holds. NULL when there are none. */
 	struct fg_own_intent *intents;
 	size_t n_intents;
 };
