--- a/lib/endpoint/fg_endpoint.h
+++ b/lib/endpoint/fg_endpoint.h
@@ -62,7 +62,7 @@
 	bool leaving;	   /* REFUSED because the endpoint is leaving */
 };
 
-/* State that an engine reports; only its owner reads it. */
+/* State that an engine reports; only the owner of the engine reads it. */
 struct fg_engine_state {
 	uint64_t epoch; /* new after each restart of the engine */
 	uint64_t fence; /* highest one seen; 0 if it does not check */
@@ -84,7 +84,7 @@
 	FG_ORDER_ROLE = 3, /* only raises the fencing number */
 };
 
-/* An order to an engine; only its owner sends any. */
+/* An order to an engine; only the owner of the engine sends orders. */
 struct fg_order {
 	uint64_t id;
 	enum fg_order_kind kind;
@@ -118,8 +118,9 @@
 	/* Sends an order and waits for the result. */
 	enum fg_order_status (*send_order)(const struct fg_list_entry *ep,
 					   const struct fg_order *order);
-	/* Reads the state of an engine: FG_PF_OK, FG_PF_DOWN without a
-	 * readable answer, or FG_PF_BAD_ANSWER when it has no batch size. */
+	/* Reads the state of an engine. Returns FG_PF_OK, FG_PF_DOWN when no
+	 * readable answer came, or FG_PF_BAD_ANSWER when the answer has no
+	 * batch size. */
 	enum fg_pf_result (*read_state)(const struct fg_list_entry *ep,
 					uint32_t timeout_ms,
 					struct fg_engine_state *out);
--- a/lib/h1/fg_h1.h
+++ b/lib/h1/fg_h1.h
@@ -57,8 +57,8 @@
 
 /* Callbacks of fg_h1_feed() and fg_h1_eof(). */
 struct fg_h1_ops {
-	/* The head is complete. Returns false when the message has no body, as
-	 * an answer to a HEAD request. */
+	/* The head is complete. Returns false when the message has no body,
+	 * such as the answer to a HEAD request. */
 	bool (*on_head)(void *ctx, const struct fg_h1_head *head);
 	/* A piece of the body, without chunk framing. */
 	void (*on_body)(void *ctx, const char *data, size_t len_bytes);
@@ -95,7 +95,7 @@
 size_t fg_h1_feed(struct fg_h1 *h, const char *data, size_t len_bytes);
 
 /* Handles the end of the connection. Returns true when it completes the
- * message, which is so for an answer without a length. */
+ * message, as it does for an answer without a length. */
 bool fg_h1_eof(struct fg_h1 *h);
 
 /* Prepares the parser for the next message of the connection. */
--- a/lib/mesh/fg_mesh.x
+++ b/lib/mesh/fg_mesh.x
@@ -58,7 +58,7 @@
 
 struct fg_mesh_store {          /* the sender's view of the store */
 	bool reads;             /* reads the store and relays rows to others */
-	unsigned int age_ms;    /* since the registry table was answered */
+	unsigned int age_ms;    /* since the last answered registry read */
 	fg_mesh_feed feeds[FG_MESH_FEEDS];
 };
 
--- a/lib/mesh/fg_peers.h
+++ b/lib/mesh/fg_peers.h
@@ -92,12 +92,12 @@
 bool fg_peer_is_alive(const struct fg_mesh_peer *peer, fg_ms now);
 
 /*
- * Returns the instance from which this instance reads the rows of the store
- * instead of from the store itself. A candidate is in the same region and data
- * centre, reads the store itself, was answered by the registry at most fresh_ms
- * ago, has sent a heartbeat within FG_PEER_READER_TIMEOUT_MS and has a lower
- * hash than this instance. The lowest hash is chosen. Returns NULL when there
- * is no candidate: this instance then reads the store.
+ * Returns the instance that relays the rows of the store to this instance. A
+ * candidate is in the same region and data centre, reads the store itself, got
+ * its last answer from the registry at most fresh_ms ago, has sent a heartbeat
+ * within FG_PEER_READER_TIMEOUT_MS and has a lower hash than this instance. The
+ * lowest hash is chosen. Returns NULL when there is no candidate: this instance
+ * then reads the store.
  */
 const struct fg_mesh_peer *fg_peers_find_reader(const struct fg_peers *p,
 						fg_ms now, uint32_t fresh_ms);
@@ -107,7 +107,7 @@
 
 /*
  * True when heartbeats for another region are sent to this peer. Traffic
- * between regions is paid by volume, therefore only the instances that read the
+ * between regions is billed by volume, so only the instances that read the
  * store get them and forward them in their data centre. While no such instance
  * is known in a data centre, all its instances get them.
  */
--- a/lib/settings/fg_settings.h
+++ b/lib/settings/fg_settings.h
@@ -51,7 +51,7 @@
 /* Mapping `timing`. */
 struct fg_timing_settings {
 	uint32_t tick_ms;    /* interval of the decision modules' steps */
-	uint32_t renew_ms;   /* interval of renewals of the own lease */
+	uint32_t renew_ms;   /* interval of the instance's lease renewals */
 	uint32_t lease_ms;   /* a lease not renewed for this long expires */
 	uint32_t scan_ms;    /* interval of reads of all lease rows */
 	uint32_t list_ms;    /* interval of reads of the platform's list */
@@ -65,7 +65,7 @@
 	uint32_t engine_poll_ms;      /* interval of reads of engine states */
 	uint32_t group_ms;	      /* filings in this window share a write */
 	uint32_t address_ttl_ms;      /* how long callers cache an address */
-	uint32_t change_wait_ms;      /* for all to acknowledge a change */
+	uint32_t change_wait_ms;      /* wait for all to acknowledge a change */
 	uint32_t stop_max_ms;	      /* longest duration of a planned stop */
 };
 
--- a/lib/wire/fg_wire.h
+++ b/lib/wire/fg_wire.h
@@ -42,8 +42,8 @@
 	uint32_t prompt_tokens;
 	uint32_t output_tokens;	     /* upper bound */
 	uint64_t prompt_prefix_hash; /* of the first shared part; 0: none */
-	bool resumes;		     /* the caller resumes a stream ... */
-	uint64_t resume_after;	     /* ... after the event with this id */
+	bool resumes;		     /* the caller resumes a stream */
+	uint64_t resume_after;	     /* last event id that it has received */
 };
 
 /* Frees the strings and zeroes the structure. */
@@ -51,14 +51,14 @@
 
 /* Parameters of a request that is forwarded to an endpoint. */
 struct fg_send_params {
-	const char *endpoint_id; /* any other endpoint refuses the request */
+	const char *endpoint_id; /* others refuse the request; NULL: any */
 	uint32_t deadline_ms;	 /* time left for the request; 0: not stated */
-	uint32_t urgency;	 /* 0 (first) to 9 (last) */
+	uint32_t urgency;	 /* 0 (first) to 9 (last); higher: not sent */
 	uint64_t version;	 /* required adapter version; 0: any */
-	bool resumes;
+	bool resumes;		 /* as in struct fg_call */
 	uint64_t resume_after;
 	uint64_t body_bytes;
-	bool has_body; /* announces body_bytes, also when it is 0 */
+	bool has_body; /* writes Content-Length, even for 0 bytes */
 };
 
 /* Header fields of an endpoint's answer. Strings belong to the decoded head. */
@@ -179,7 +179,7 @@
 	/* Appends the head of the forwarded request, without hop-by-hop fields
 	 * and fields that only the system sets. */
 	void (*call_write)(GString *out, const struct fg_h1_head *head,
-			   const struct fg_send_params *send);
+			   const struct fg_send_params *params);
 	/* Decodes an answer's head, which must outlive `out`. */
 	void (*reply_read)(const struct fg_h1_head *head,
 			   struct fg_wire_reply *out);
