--- a/programs/fg-load/fl_conf.c
+++ b/programs/fg-load/fl_conf.c
@@ -80,7 +80,7 @@
 		{ "zipf", 0, 0, G_OPTION_ARG_DOUBLE, &raw->zipf,
 		  "Skew of the adapters' popularity (1.0)", "S" },
 		{ "shift-at", 0, 0, G_OPTION_ARG_INT, &raw->shift_at,
-		  "Request at which popularity is dealt anew", "N" },
+		  "Request at which popularity is reshuffled", "N" },
 		{ "deadline-ms", 0, 0, G_OPTION_ARG_INT, &raw->deadline_ms,
 		  "Deadline of a request (30000)", "MS" },
 		{ "draft-deadline-ms", 0, 0, G_OPTION_ARG_INT,
--- a/programs/fg-load/fl_conf.h
+++ b/programs/fg-load/fl_conf.h
@@ -28,7 +28,7 @@
 	uint32_t workers;
 	uint32_t attempts; /* of one request, including the first */
 	uint64_t seed;
-	uint32_t shift_at; /* request that reshuffles popularity; 0: none */
+	uint32_t shift_at; /* reshuffles popularity at this request; 0: never */
 	char *caller;
 	char *history; /* path, or "" */
 	char *summary; /* path, or "" */
--- a/standin/engine/si_engine.h
+++ b/standin/engine/si_engine.h
@@ -4,8 +4,8 @@
  *   si_slots   loads and evictions, fencing, fetching of weights.
  *   si_batch   priority queue and continuous batch: one thread makes one token
  *              per step for every running request.
- *   si_prefix  cached prompt prefixes and their events, which come late and
- *              with gaps.
+ *   si_prefix  cached prompt prefixes and their events, which are reported
+ *              late and with gaps.
  *   si_stream  writes the tokens of a run to its connection.
  *
  * si_engine.lock guards slots, queue, batch and runs. The caller of a function
--- a/standin/engine/si_slots.c
+++ b/standin/engine/si_slots.c
@@ -111,7 +111,7 @@
 }
 
 /* Fetches the weights; returns false when the store does not deliver them. */
-static bool fetch(struct si_engine *e, const struct order *order)
+static bool fetch_weights(struct si_engine *e, const struct order *order)
 {
 	CURL *curl = curl_easy_init();
 	json_t *body = json_pack("{s:s, s:s, s:s}", "adapter", order->adapter,
@@ -200,7 +200,7 @@
 	if (load == 0)
 		return answer_fenced(req, fence);
 	fetched = !si_fault_consume(req->proc->fault, SI_FAULT_FAIL_LOAD) &&
-		  fetch(e, &order);
+		  fetch_weights(e, &order);
 	if (!finish_load(e, &order, load, fetched))
 		return si_answer_error(req, 503, "load_failed");
 	return si_answer_json(req, 200, json_pack("{s:b}", "ok", 1));
--- a/standin/engine/si_stream.c
+++ b/standin/engine/si_stream.c
@@ -67,7 +67,7 @@
 }
 
 /* Appends all output that is available now. Locked. */
-static void append_ready(struct stream *s)
+static void append_available_output(struct stream *s)
 {
 	uint32_t stop_at =
 		s->own->truncate ? s->own->max_tokens / 2 : UINT32_MAX;
@@ -92,7 +92,7 @@
 		return MHD_CONTENT_READER_END_WITH_ERROR;
 	pthread_mutex_lock(&s->e->lock);
 	while (s->pending->len == 0 && !s->ended) {
-		append_ready(s);
+		append_available_output(s);
 		if (s->pending->len == 0 && !s->ended)
 			pthread_cond_wait(&s->source->changed, &s->e->lock);
 	}
--- a/standin/hosted/si_replica.py
+++ b/standin/hosted/si_replica.py
@@ -4,12 +4,12 @@
   not_run     503 with Not-Run
   lost        the request runs, then the connection is reset
   silent      the request runs, but nothing is sent
-  crash       the replica ends when the request runs
+  crash       the replica stops when the request runs
   cut         the connection is reset within an event of the stream
-  cut_end     a complete body without a length, ended by the connection
+  cut_end     a complete body without a length; the connection is closed
   reset_body  a body without a length, reset in its middle
   stray       an answer to another request is sent first
-  error       500 of the application
+  error       the application answers with status 500
   order_lost  an order is carried out, but not answered
 """
 
@@ -41,7 +41,7 @@
         self.faults = {}
         self.run_ids = []  # ids of the requests that began to run
         self.received = []  # (id, headers) of every request
-        self.disconnects = []  # (id, seconds or event) when a caller left
+        self.disconnects = []  # (id, seconds waited or event number)
         self.sent_at = {}  # (id, event) -> time.monotonic()
         self.orders = []  # (holder, fence, opcode, adapter, status)
         self.event_interval_s = 0.01
--- a/standin/hosted/si_store.py
+++ b/standin/hosted/si_store.py
@@ -20,7 +20,7 @@
         self.feed_delay_s = 0  # before each answer to a feed call
         self.unanswered_feeds = {}  # table -> feed calls not to answer
         self.lost_tx_answers = 0  # transactions to carry out but not answer
-        self.tx_delay_s = 0  # before such a transaction is carried out
+        self.tx_delay_s = 0  # before a transaction with a lost answer
         self.server = Server(self.handle)
         self.addr = self.server.addr
 
