--- a/tests/unit/cluster.c
+++ b/tests/unit/cluster.c
@@ -22,7 +22,7 @@
 	uint64_t number;
 	enum event_type type;
 	struct instance *instance; /* target */
-	uint64_t instance_id; /* another one may use the array entry by now */
+	uint64_t instance_id; /* tells whether the array entry was reused */
 	struct fg_table_op *op;
 	struct fg_table_result *res;
 	fg_msg *msg;
--- a/tests/unit/confsync_sim.c
+++ b/tests/unit/confsync_sim.c
@@ -133,7 +133,7 @@
 		send_result(m, index, LOST_RESULT_MS,
 			    fg_table_result_new(op->id, op->kind, FG_PF_LOST));
 		e->answer_lost = true;
-		/* Some take effect after their loss was reported. */
+		/* Some operations take effect after they were reported lost. */
 		if (draw_percent(m, 30))
 			e->at += LOST_RESULT_MS + random_delay_ms(m, 1000);
 		if (draw_percent(m, 30)) {
--- a/tests/unit/test_admit.c
+++ b/tests/unit/test_admit.c
@@ -273,7 +273,7 @@
 		report_crash(s, 61000 + 10000 * i, 30 + i, 2, 300 + i);
 	}
 	g_assert_cmpint(check_verdict(s, 90000, 7), ==, FG_SUSPECT_ALLOW);
-	/* Crashes of that time blame no request later either. */
+	/* The same crashes do not make the request suspect later. */
 	g_assert_cmpint(check_verdict(s, 500000, 7), ==, FG_SUSPECT_ALLOW);
 	fg_suspects_free(s);
 }
--- a/tests/unit/test_broker.c
+++ b/tests/unit/test_broker.c
@@ -529,8 +529,8 @@
 	g_assert_cmpuint(t.orders, ==, 1);
 	g_assert_cmpuint(t.last.av.adapter, ==, 1);
 	g_assert_cmpuint(t.last.ep, !=, 1);
-	/* The next copy from this endpoint waits for the effect of the first.
-	 */
+	/* An endpoint causes no second copy before the first one has had time
+	 * to take effect. */
 	send_reply(&t, 1200, FG_PLACE_DONE);
 	send_popularity(&t, 1200, 2, 50);
 	pfx_report_resident(t.d, 1, 4, 8, both, 2);
--- a/tests/unit/test_claim.c
+++ b/tests/unit/test_claim.c
@@ -1,4 +1,4 @@
-/* Ownership of engines, depending on rows, live instances and races. */
+/* Unit tests of engine ownership: rows, live instances and races. */
 #include <glib.h>
 #include <string.h>
 
--- a/tests/unit/test_confsync_rows.c
+++ b/tests/unit/test_confsync_rows.c
@@ -90,7 +90,7 @@
 	reads = m->reads;
 	sim_run(m, m->now + 1000);
 	g_assert_cmpuint(sim_instance_revision(m, 3), ==, 104);
-	/* Leaves room for the polls of four instances, not for 104 deltas. */
+	/* Enough for the polls of four instances, not for 104 deltas. */
 	g_assert_cmpuint(m->reads - reads, <, 20);
 	sim_check_final_state(m);
 	sim_free(m);
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -1,5 +1,5 @@
-/* Records of endpoints, their health, requests in flight, lost requests, and
- * the choice of an endpoint. */
+/* Unit tests of endpoint records, their health, requests in flight, lost
+ * requests, and the choice of an endpoint. */
 #include <glib.h>
 #include <string.h>
 
@@ -246,7 +246,8 @@
 	fg_ep_set_resident(ep, 1000, held, 2);
 }
 
-static struct fg_balance_pick pick(struct fg_fleet *f, double tokens_per_s)
+static struct fg_balance_pick pick_endpoint(struct fg_fleet *f,
+					    double tokens_per_s)
 {
 	struct fg_rand rand;
 	struct fg_balance_query ask = {
@@ -271,16 +272,16 @@
 	struct fg_fleet_ep *remote_ep = put_engine(f, "w1");
 
 	set_adapter_resident(b);
-	g_assert_true(pick(f, 0).ep == b);
-	g_assert_true(pick(f, 0).resident);
+	g_assert_true(pick_endpoint(f, 0).ep == b);
+	g_assert_true(pick_endpoint(f, 0).resident);
 	/* A short queue costs less than a load, a long one costs more. */
 	b->peers_pending_tokens = 25 * 200;
-	g_assert_true(pick(f, 0).ep == b);
+	g_assert_true(pick_endpoint(f, 0).ep == b);
 	b->peers_pending_tokens = 25 * 2000;
-	g_assert_true(pick(f, 0).ep != b);
+	g_assert_true(pick_endpoint(f, 0).ep != b);
 	/* A resident adapter in another region beats a local load. */
 	set_adapter_resident(remote_ep);
-	g_assert_true(pick(f, 0).ep == remote_ep);
+	g_assert_true(pick_endpoint(f, 0).ep == remote_ep);
 	a->owner = 0;
 	fg_fleet_free(f);
 }
@@ -295,15 +296,15 @@
 		g_snprintf(id, sizeof(id), "e%d", i);
 		put_engine(f, id);
 	}
-	first = pick(f, 0).ep;
+	first = pick_endpoint(f, 0).ep;
 	for (int i = 0; i < 20; i++)
-		g_assert_true(pick(f, 0).ep == first);
+		g_assert_true(pick_endpoint(f, 0).ep == first);
 	/* An endpoint without an owner or a base model cannot load adapters. */
 	first->owner = 0;
-	g_assert_true(pick(f, 0).ep != first);
+	g_assert_true(pick_endpoint(f, 0).ep != first);
 	first->owner = 1;
 	fg_ep_set_resident(first, 1000, NULL, 0);
-	g_assert_true(pick(f, 0).ep != first);
+	g_assert_true(pick_endpoint(f, 0).ep != first);
 	fg_fleet_free(f);
 }
 
@@ -317,13 +318,13 @@
 		g_snprintf(id, sizeof(id), "e%d", i);
 		put_engine(f, id);
 	}
-	first = pick(f, 0).ep;
+	first = pick_endpoint(f, 0).ep;
 	set_adapter_resident(first);
 	first->pending_tokens = 25 * 400;
-	g_assert_true(pick(f, 0).ep == first);
+	g_assert_true(pick_endpoint(f, 0).ep == first);
 	/* An adapter that saturates an endpoint gets a second home sooner. */
 	first->pending_tokens = 25 * 650;
-	g_assert_true(pick(f, 25000).ep != first);
+	g_assert_true(pick_endpoint(f, 25000).ep != first);
 	fg_fleet_free(f);
 }
 
--- a/tests/unit/test_grant_sim.c
+++ b/tests/unit/test_grant_sim.c
@@ -28,7 +28,7 @@
 struct job {
 	uint64_t holder, req, grant;
 	fg_av av;
-	fg_ms starts, ends; /* at the engine; starts is -1 once it has */
+	fg_ms starts, ends; /* at the engine; starts is -1 when none is due */
 	bool running, held, holder_dead;
 	int32_t slot;
 };
@@ -462,7 +462,7 @@
 		g_test_message("seed %" G_GUINT64_FORMAT, seed);
 		run_seed(seed, &granted);
 	}
-	/* The simulation must give enough grants to be a test. */
+	/* Too few grants would leave the invariants untested. */
 	g_assert_cmpuint(granted, >, SEEDS * 10);
 }
 
--- a/tests/unit/test_ledger.c
+++ b/tests/unit/test_ledger.c
@@ -253,7 +253,7 @@
 	g_assert_cmpuint(model_start(m, 0, 0, BODY), ==, 21);
 	before = model_ops(m, FG_OP_TXN);
 	model_run(m, 35, false);
-	/* The group, the rest of it, and the first recorded outcomes. */
+	/* The group, its other keys after the conflict, and first outcomes. */
 	g_assert_cmpuint(model_ops(m, FG_OP_TXN) - before, <=, 6);
 	g_assert_true(model_filing(m, 21)->replayed);
 	for (uint32_t key = 20; key < 29; key++)
--- a/tests/unit/test_node.c
+++ b/tests/unit/test_node.c
@@ -1,4 +1,4 @@
-/* One node with fake callbacks: whole requests and their failures. */
+/* Unit tests of one node with fake callbacks: whole requests and failures. */
 #include "node_fixture.h"
 
 #include <string.h>
--- a/tests/unit/test_relay.c
+++ b/tests/unit/test_relay.c
@@ -1,5 +1,5 @@
-/* Rows relayed between instances, and the choice of the instance that reads the
- * store. */
+/* Unit tests of rows relayed between instances, and of the choice of the
+ * instance that reads the store. */
 #include <string.h>
 
 #include "base/fg_rand.h"
@@ -69,8 +69,8 @@
 	fg_relay_free(r);
 }
 
-/* A neighbour that has read less than the floor must get no answer: an empty
- * one would tell it that it lacks nothing. */
+/* An instance that has read less than the floor must get no answer: an empty
+ * answer would tell it that it has all rows. */
 static void test_floor(void)
 {
 	struct fg_relay *r = fg_relay_new();
@@ -237,7 +237,7 @@
 
 /* Heartbeats to another region go to the instances there that read the store,
  * or to all when none is known to read it. */
-static void test_far_targets(void)
+static void test_cross_region_targets(void)
 {
 	struct fg_peers *p = new_peers("n1");
 	const GPtrArray *all = fg_peers_all(p);
@@ -278,6 +278,6 @@
 	g_test_add_func("/peers/reader_is_fresh_and_near",
 			test_reader_is_current_and_near);
 	g_test_add_func("/peers/one_reader_is_left", test_one_reader_remains);
-	g_test_add_func("/peers/far_targets", test_far_targets);
+	g_test_add_func("/peers/far_targets", test_cross_region_targets);
 	return g_test_run();
 }
--- a/tests/unit/test_slots.c
+++ b/tests/unit/test_slots.c
@@ -1,7 +1,7 @@
 /*
- * Adapter slots of one engine: which orders are sent with which sequence, and
- * that no fault of the engine or the network makes the adapters exceed the
- * slots.
+ * Unit tests of the adapter slots of one engine: which orders are sent with
+ * which sequence, and that no fault of the engine or the network makes the
+ * adapters exceed the slots.
  */
 #include <glib.h>
 #include <string.h>
--- a/tests/unit/test_standin.c
+++ b/tests/unit/test_standin.c
@@ -73,7 +73,7 @@
 	stop_standin(&p);
 }
 
-static void *fetch(void *arg)
+static void *fetch_weights(void *arg)
 {
 	const struct proc *p = arg;
 
@@ -90,7 +90,7 @@
 	fg_ms took;
 
 	for (int i = 0; i < 16; i++)
-		pthread_create(&threads[i], NULL, fetch, &p);
+		pthread_create(&threads[i], NULL, fetch_weights, &p);
 	for (int i = 0; i < 16; i++)
 		pthread_join(threads[i], NULL);
 	took = fg_clock_now() - begin;
--- a/tests/unit/test_standin_engine.c
+++ b/tests/unit/test_standin_engine.c
@@ -21,8 +21,8 @@
 	return proc;
 }
 
-static void load(const struct proc *engine, int slot, const char *adapter,
-		 int fence, long status)
+static void load_adapter(const struct proc *engine, int slot,
+			 const char *adapter, int fence, long status)
 {
 	char *body = g_strdup_printf("{\"order\":1,\"slot\":%d,\"adapter\":"
 				     "\"%s\",\"version\":\"v1\",\"fence\":%d}",
@@ -49,16 +49,16 @@
 	char *body = run_body("r1", "a", 3, 1);
 
 	check_contains(e.addr, "/v1/run", body, 404, "not_loaded");
-	load(&e, 0, "a", 5, 200);
+	load_adapter(&e, 0, "a", 5, 200);
 	check_contains(e.addr, "/v1/run", body, 200, "\"n\":3}");
 	check_contains(e.addr, "/v1/evict",
 		       "{\"order\":2,\"slot\":0,\"fence\":4}", 409,
 		       "{\"error\":\"fenced\",\"fence\":5}");
 	send_control(&e, "{\"op\":\"fail_load\",\"count\":1}");
-	load(&e, 0, "b", 5, 503);
+	load_adapter(&e, 0, "b", 5, 503);
 	/* A failed load leaves the slot empty. */
 	check_contains(e.addr, "/v1/run", body, 404, "not_loaded");
-	load(&e, 0, "a", 5, 200);
+	load_adapter(&e, 0, "a", 5, 200);
 	send_control(&e, "{\"op\":\"restart_empty\"}");
 	check_contains(e.addr, "/v1/run", body, 404, "not_loaded");
 	check_contains(e.addr, "/v1/state", NULL, 200, "\"fence\":0");
@@ -122,7 +122,7 @@
 	struct proc e = start_engine(&p, NULL);
 	struct pending_run run;
 
-	load(&e, 0, "a", 9, 200);
+	load_adapter(&e, 0, "a", 9, 200);
 	start_run(&run, &e, "r1", 500, 1);
 	wait_for_log(&e, "\"ev\":\"run_start\",\"id\":\"r1\"");
 	check_status(e.addr, "/v1/evict",
@@ -158,7 +158,7 @@
 	struct proc e = start_engine(&p, NULL);
 	struct pending_run runs[4];
 
-	load(&e, 0, "a", 1, 200);
+	load_adapter(&e, 0, "a", 1, 200);
 	start_run(&runs[0], &e, "r0", 5000, 1);
 	start_run(&runs[1], &e, "r1", 5000, 1);
 	wait_for_log(&e, "\"ev\":\"run_start\",\"id\":\"r0\"");
@@ -184,7 +184,7 @@
 	char *body = run_body("r1", "a", 4, 1);
 	char *text;
 
-	load(&e, 0, "a", 1, 200);
+	load_adapter(&e, 0, "a", 1, 200);
 	send_control(&e, "{\"op\":\"truncate\",\"count\":2}");
 	text = request_text(e.addr, "/v1/run", body, 200);
 	g_assert_null(strstr(text, "\"end\""));
