--- a/lib/admit/fg_suspect.c
+++ b/lib/admit/fg_suspect.c
@@ -24,8 +24,8 @@
 #define DEATH_SPAN_MS 2000
 #define CHECK_AGAIN_MS 500
 
-/* An attempt whose end was never reported stops counting as running after the
- * longest deadline that a request can have. */
+/* An attempt that was never reported as ended stops counting as running after
+ * the longest deadline that a request can have. */
 #define RUNNING_MAX_MS 600000
 
 /* A request is refused after refuse_crashes times this many deaths of a single
--- a/lib/gateway/fg_gateway_internal.h
+++ b/lib/gateway/fg_gateway_internal.h
@@ -275,8 +275,8 @@
  * the fleet. `slots` to `fence` and `facts_seen` are in use only while this
  * instance orders the endpoint's adapter loads; `slots` is NULL otherwise. */
 struct fg_ep_local {
-	GPtrArray *idle; /* struct fg_ep_conn *, most recently used last */
-	fg_ms heard_at;	 /* last byte from the endpoint, on any connection */
+	GPtrArray *idle;    /* struct fg_ep_conn *, most recently used last */
+	fg_ms last_byte_at; /* last byte from the endpoint, on any connection */
 	struct fg_losses losses;
 	struct fg_slots *slots;
 	struct fg_uses uses; /* in flight from the other instances */
--- a/lib/gateway/fg_gw_request.c
+++ b/lib/gateway/fg_gw_request.c
@@ -5,7 +5,9 @@
 
 /* Time limit when neither the route nor the caller sets one. */
 #define DEFAULT_TIMEOUT_MS 30000
-/* Shortest Retry-After; loads finish and short queues drain within it. */
+/* Shortest Retry-After of a refusal. The state of loads and of short queues
+ * changes within this time, so that a caller that comes back then may find
+ * another situation. */
 #define RETRY_MIN_MS 50
 /* Maximum sends of one request, including those that did not run. */
 #define SENDS_MAX 6
--- a/lib/gateway/fg_gw_send.c
+++ b/lib/gateway/fg_gw_send.c
@@ -225,7 +225,7 @@
 {
 	struct fg_ep_conn *conn = ctx;
 
-	fg_ep_local_get(conn->gw, conn->ep)->heard_at = fg_clock_now();
+	fg_ep_local_get(conn->gw, conn->ep)->last_byte_at = fg_clock_now();
 	if (conn->req == NULL) {
 		/* An idle connection must not receive anything. */
 		remove_idle(conn);
@@ -400,7 +400,7 @@
 		fg_gwreq_on_send_end(r, FG_SEND_NOT_SENT, "connect_timeout");
 		return;
 	}
-	if (r->answer_begun || local->heard_at > r->sent_at) {
+	if (r->answer_begun || local->last_byte_at > r->sent_at) {
 		arm_silence_timeout(r, now);
 		return;
 	}
--- a/lib/member/fg_member.h
+++ b/lib/member/fg_member.h
@@ -120,7 +120,7 @@
 struct fg_peer_view {
 	struct fg_list_entry info;
 	enum fg_peer_state state;
-	fg_ms heard_at;	   /* when its last message arrived; 0 never */
+	fg_ms last_msg_at; /* when its last message arrived; 0 never */
 	uint64_t revision; /* of its configuration, as last received */
 };
 
@@ -177,7 +177,7 @@
 		       fg_member_emit emit, void *arg);
 
 /* Takes a message from instance `from`; the caller keeps msg. PING, PONG and
- * LEAVING messages are handled; any other message only updates heard_at. A
+ * LEAVING messages are handled; any other message only updates last_msg_at. A
  * message from an instance whose lease row is not known causes a read. */
 void fg_member_on_msg(struct fg_member *m, fg_ms now, uint64_t from,
 		      const fg_msg *msg, fg_member_emit emit, void *arg);
--- a/lib/member/fg_member_peers.c
+++ b/lib/member/fg_member_peers.c
@@ -329,7 +329,8 @@
 
 	(void)key;
 	return !e->has_row && !e->op_in_flight &&
-	       *now - MAX(e->absent_at, e->view.heard_at) > DEAD_ENTRY_TTL_MS;
+	       *now - MAX(e->absent_at, e->view.last_msg_at) >
+		       DEAD_ENTRY_TTL_MS;
 }
 
 void fg_member_peers_tick(struct fg_member *m, fg_ms now)
--- a/lib/member/fg_member_ping.c
+++ b/lib/member/fg_member_ping.c
@@ -5,7 +5,7 @@
  */
 #include "member/fg_member_internal.h"
 
-#define RANDOM_PEERS 2	      /* pinged besides the neighbours */
+#define RANDOM_PEERS 2	      /* pinged in addition to the neighbours */
 #define HINT_INTERVAL_MS 8000 /* between hints about one instance */
 #define HINT_FANOUT 4	      /* receivers of a hint */
 #define ABSENT_READ_MS 5000   /* between reads of a row found absent */
@@ -304,7 +304,7 @@
 	m->emit = emit;
 	m->arg = arg;
 	if (e != NULL)
-		e->view.heard_at = now;
+		e->view.last_msg_at = now;
 	if (b->type == FG_MSG_PING) {
 		record_contact(m, now, &b->fg_body_u.ping);
 		if (e != NULL)
--- a/lib/node/fg_node.h
+++ b/lib/node/fg_node.h
@@ -179,7 +179,7 @@
 void fg_node_on_request(struct fg_node *n, fg_ms now,
 			const struct fg_request *req);
 
-/* The caller of request `req` closed its connection. A filing goes on, any
+/* The caller of request `req` closed its connection. A filing continues, any
  * other request is cancelled. */
 void fg_node_on_caller_gone(struct fg_node *n, fg_ms now, uint64_t req);
 
--- a/lib/node/fg_node_internal.h
+++ b/lib/node/fg_node_internal.h
@@ -87,14 +87,14 @@
 	uint64_t prefix_hash;
 	fg_ms arrived_at;
 	fg_ms deadline;
-	fg_ms retry_at;	     /* BACKOFF */
-	fg_ms asked_at;	     /* GRANT: the last GRANT_REQ */
-	fg_ms stalled_since; /* 0 unless it waits for its adapter */
-	uint32_t attempts;   /* dispatches so far */
-	uint32_t grant_asks; /* grant requests so far; part of their id */
-	uint64_t ep;	     /* GRANT and RUNNING */
-	uint64_t grant;	     /* 0: none held */
-	uint64_t owner;	     /* the owner that was asked for the grant */
+	fg_ms retry_at;		 /* BACKOFF */
+	fg_ms asked_at;		 /* GRANT: the last GRANT_REQ */
+	fg_ms stalled_since;	 /* 0 unless it waits for its adapter */
+	uint32_t attempts;	 /* dispatches so far */
+	uint32_t grant_requests; /* so far; part of their id */
+	uint64_t ep;		 /* GRANT and RUNNING */
+	uint64_t grant;		 /* 0: none held */
+	uint64_t owner;		 /* the owner that was asked for the grant */
 	uint64_t fence;
 	uint64_t avoid[FG_AVOID_MAX]; /* endpoints, oldest first */
 	uint32_t n_avoid;
--- a/lib/node/fg_node_req.c
+++ b/lib/node/fg_node_req.c
@@ -256,8 +256,8 @@
 	fg_node_run_deferred(n);
 }
 
-/* A filing goes on without its caller, who may ask for the outcome later under
- * the same key. */
+/* A filing continues without its caller, who may ask for the outcome later
+ * under the same key. */
 void fg_node_on_caller_gone(struct fg_node *n, fg_ms now, uint64_t id)
 {
 	struct fg_req *r = fg_req_find(n, id);
--- a/lib/node/fg_node_route.c
+++ b/lib/node/fg_node_route.c
@@ -4,26 +4,26 @@
 #include "node/fg_node_internal.h"
 
 #define RETRY_AFTER_MS 1000
-#define BATCH_UNKNOWN UINT32_MAX /* only the owner knows the batch size */
-#define HELD_ASK_REPEAT_MS 3000	 /* added to grant_repeat_ms while held */
+#define BATCH_UNKNOWN UINT32_MAX    /* only the owner knows the batch size */
+#define HELD_REQUEST_REPEAT_MS 3000 /* added to grant_repeat_ms while held */
 #define ROUTE_RETRY_MS 200
-#define GRANT_ASKS_MAX 20 /* per request */
+#define GRANT_REQUESTS_MAX 20 /* for one request of a caller */
 #define PRIORITY_DRAFT 10
 #define PRIORITY_INTERACTIVE 1
 #define RUN_TIME_MIN_MS 50 /* with less time left a request is not sent */
 
-/* ---- Ids of grant requests: request id and number of the ask ---- */
+/* ---- Ids of grant requests: request id and number within the request ---- */
 
-static uint64_t grant_ask_id(const struct fg_req *r)
+static uint64_t grant_request_id(const struct fg_req *r)
 {
-	return r->id << 8 | (r->grant_asks & 0xff);
+	return r->id << 8 | (r->grant_requests & 0xff);
 }
 
-static struct fg_req *find_req_by_ask(struct fg_node *n, uint64_t ask)
+static struct fg_req *find_req_by_grant_request(struct fg_node *n, uint64_t id)
 {
-	struct fg_req *r = fg_req_find(n, ask >> 8);
+	struct fg_req *r = fg_req_find(n, id >> 8);
 
-	return r != NULL && grant_ask_id(r) == ask ? r : NULL;
+	return r != NULL && grant_request_id(r) == id ? r : NULL;
 }
 
 void fg_route_avoid_ep(struct fg_req *r, uint64_t ep)
@@ -64,11 +64,11 @@
 	count_in_dir(n, r, false);
 	if (r->state == FG_REQ_GRANT && r->grant == 0 && r->ep != 0) {
 		/* The grant request is not answered yet, and the owner must not
-		 * keep a grant for it. The release names the ask instead of a
-		 * grant. */
+		 * keep a grant for it. The release names the grant request
+		 * instead of a grant. */
 		msg = fg_msg_new(FG_MSG_RELEASE);
 		msg->body.fg_body_u.release.ep = r->ep;
-		msg->body.fg_body_u.release.req = grant_ask_id(r);
+		msg->body.fg_body_u.release.req = grant_request_id(r);
 		fg_node_send_and_free(n, r->owner, msg);
 		r->ep = 0;
 		return;
@@ -78,7 +78,7 @@
 	msg = fg_msg_new(FG_MSG_RELEASE);
 	msg->body.fg_body_u.release.ep = r->ep;
 	msg->body.fg_body_u.release.grant = r->grant;
-	msg->body.fg_body_u.release.req = grant_ask_id(r);
+	msg->body.fg_body_u.release.req = grant_request_id(r);
 	msg->body.fg_body_u.release.service_ms = service_ms;
 	msg->body.fg_body_u.release.crashed = orphaned;
 	r->grant = 0;
@@ -183,7 +183,7 @@
 	fg_msg *msg = fg_msg_new(FG_MSG_GRANT_REQ);
 	fg_grant_req *req = &msg->body.fg_body_u.grant_req;
 
-	req->req = grant_ask_id(r);
+	req->req = grant_request_id(r);
 	req->ep = r->ep;
 	req->av = r->av;
 	req->cls = r->cls;
@@ -197,7 +197,7 @@
 {
 	uint64_t owner = 0;
 
-	if (r->grant_asks >= GRANT_ASKS_MAX) {
+	if (r->grant_requests >= GRANT_REQUESTS_MAX) {
 		fg_req_fail(n, r, FG_NOT_RUN, FG_R_OVERLOAD, RETRY_AFTER_MS);
 		return;
 	}
@@ -206,7 +206,7 @@
 		fg_route_back_off(n, r, ROUTE_RETRY_MS);
 		return;
 	}
-	r->grant_asks++;
+	r->grant_requests++;
 	r->state = FG_REQ_GRANT;
 	r->ep = ep;
 	r->owner = owner;
@@ -299,7 +299,7 @@
 void fg_route_on_grant_rep(struct fg_node *n, uint64_t from,
 			   const fg_grant_rep *rep)
 {
-	struct fg_req *r = find_req_by_ask(n, rep->req);
+	struct fg_req *r = find_req_by_grant_request(n, rep->req);
 
 	if (r != NULL && r->grant == rep->grant && rep->grant != 0)
 		return; /* a repeat of the grant that is in use */
@@ -310,7 +310,7 @@
 	if (rep->status == FG_GRANT_OK)
 		use_grant(n, r, rep);
 	else if (rep->status == FG_GRANT_HELD)
-		r->asked_at = n->now + HELD_ASK_REPEAT_MS;
+		r->asked_at = n->now + HELD_REQUEST_REPEAT_MS;
 	else
 		handle_refusal(n, r, rep);
 }
@@ -419,7 +419,7 @@
 		    tell->grants.grants_len == FG_LIST_MAX)
 			continue;
 		info->grant = r->grant;
-		info->req = grant_ask_id(r);
+		info->req = grant_request_id(r);
 		info->av = r->av;
 		info->left_ms = fg_req_left_ms(n, r);
 		tell->grants.grants_len++;
--- a/standin/engine/si_stream.c
+++ b/standin/engine/si_stream.c
@@ -130,7 +130,7 @@
 }
 
 /* Called when the request ends; cancels the run if its caller has gone. A
- * crossed run goes on, since its answer is sent to the other caller. */
+ * crossed run continues, since its answer is sent to the other caller. */
 static void on_done(void *arg)
 {
 	struct si_run *run = arg;
--- a/tests/unit/test_node.c
+++ b/tests/unit/test_node.c
@@ -395,7 +395,7 @@
 	return -1;
 }
 
-/* An attempt whose end was not observed may still be running. Its slot is not
+/* An attempt that was not observed to end may still be running. Its slot is not
  * evicted until the engine reports that nothing runs there. */
 static void test_orphaned_run_keeps_slot(void)
 {
